--- a/crates/orioleroute/src/ingress/attempt.rs
+++ b/crates/orioleroute/src/ingress/attempt.rs
@@ -1,40 +1,41 @@
-//! One attempt of a client, as its header fields describe it.
+//! An attempt of a client, as described by its header fields.
 
 use crate::prelude::*;
 
-/// One attempt of a client to have a request answered.
+/// An attempt of a client at a request.
 #[derive(Clone, Debug, Default)]
 pub struct Attempt {
-    /// The attempt's id; a client's retry has another one.
+    /// The attempt's id. A retry by the client has another id.
     pub id: Option<Arc<str>>,
-    /// How long the client waits.
+    /// The time until the client's deadline.
     pub time_left: Option<Duration>,
-    /// What is to be generated, for requests to model engines.
+    /// The generation parameters, for requests to model engines.
     pub generation: Option<Generation>,
-    /// The last event of a stream that the client has, when it resumes one.
+    /// The number of the last event that the client has received, if it resumes a stream.
     pub last_event: Option<u64>,
 }
 
-/// What a model engine is asked to generate.
+/// The parameters of a generation by a model engine.
 #[derive(Clone, Debug)]
 pub struct Generation {
     /// The base model.
     pub model: Arc<str>,
-    /// The adapter on it.
+    /// The adapter on the base model, if any.
     pub adapter: Option<Arc<str>>,
-    /// The tokens of the prompt.
+    /// The length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// The most tokens of the output.
+    /// The maximum length of the output in tokens.
     pub output_tokens: u32,
-    /// The parts of the prompt in order; requests with the same first parts share their cache.
+    /// The parts of the prompt in order. Requests whose first parts are equal share those in the
+    /// engine's cache.
     pub parts: Vec<Part>,
 }
 
 /// A part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Part {
-    /// What identifies its content.
+    /// A number that identifies the content.
     pub id: u64,
-    /// Its length in tokens.
+    /// The length of the part in tokens.
     pub tokens: u32,
 }
--- a/crates/orioleroute/src/ingress/configuration.rs
+++ b/crates/orioleroute/src/ingress/configuration.rs
@@ -6,18 +6,18 @@
 /// An accepted configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Configuration {
-    /// Its version; a later configuration has a higher one.
+    /// The version; a later configuration has a higher one.
     pub version: u64,
     /// The routes of each host, longest prefix first.
     routes: Map<Arc<str>, Vec<Arc<Route>>>,
-    /// The services by name.
+    /// The services, by name.
     pub services: Map<Arc<str>, Service>,
-    /// What a client may send.
+    /// The limits on client requests and connections.
     pub limits: Limits,
 }
 
 impl Configuration {
-    /// Returns a configuration of these parts.
+    /// Returns a configuration with these routes, services and limits.
     pub fn new(
         version: u64,
         routes: impl IntoIterator<Item = Route>,
@@ -35,47 +35,48 @@
         Self { version, routes: by_host, services: services.collect(), limits }
     }
 
-    /// Returns the route with the longest prefix of `path` on `host`.
+    /// Returns the route of `host` with the longest prefix that matches `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         self.routes.get(host)?.iter().find(|route| path.starts_with(&*route.prefix))
     }
 
-    /// Returns how many routes there are.
+    /// Returns the number of routes.
     pub fn route_count(&self) -> usize {
         self.routes.values().map(Vec::len).sum()
     }
 }
 
-/// Where requests of one host and path prefix go.
+/// A route, which sends the requests for one host and path prefix to services.
 #[derive(Clone, Debug)]
 pub struct Route {
     /// The route's name.
     pub name: Arc<str>,
     /// The host.
     pub host: Arc<str>,
-    /// The start of the paths, with a slash at both ends.
+    /// The path prefix, which begins and ends with a slash.
     pub prefix: Arc<str>,
-    /// What may be repeated.
+    /// Whether requests may be repeated, and whether responses are streams.
     pub kind: Kind,
-    /// The longest time that a request may be kept waiting.
+    /// The maximum time that a client is kept waiting.
     pub timeout: Duration,
-    /// The time within which an answer, or the first event of a stream, is on time.
+    /// The time within which a response, or the first event of a stream, is on time.
     pub objective: Duration,
-    /// The rank of its requests; 0 is served first.
+    /// The priority of its requests; 0 is the highest.
     pub priority: u8,
-    /// The most upstreams to which one attempt may be sent.
+    /// The maximum number of upstreams to which one attempt may be sent.
     pub attempts: u32,
-    /// Whether a broken stream may go on at another upstream.
+    /// Whether an interrupted stream may be resumed at another upstream.
     pub is_resumable: bool,
-    /// The services that answer.
+    /// The services among which the requests are split.
     pub targets: Vec<Target>,
 }
 
 impl Route {
-    /// Returns the service for the attempt `id`, by the weights of the targets.
+    /// Returns the service for the attempt `id`, chosen by the weights of the targets, or `None` if all
+    /// weights are zero.
     ///
-    /// The same id gets the same service at every instance, so that a retry inside one attempt
-    /// does not cross from one side of a split to the other.
+    /// The same id maps to the same service at every instance, so that a retry within an attempt stays
+    /// on the same side of a traffic split.
     pub fn service(&self, id: &str) -> Option<&Arc<str>> {
         let total: u64 = self.targets.iter().map(|target| u64::from(target.weight)).sum();
         let mut point = hash::digest(id).checked_rem(total)?;
@@ -98,7 +99,7 @@
     }
 }
 
-/// What may be repeated of a request.
+/// The kind of a route's requests, by which they may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::EnumString)]
 #[strum(serialize_all = "snake_case")]
 pub enum Kind {
@@ -106,7 +107,7 @@
     Idempotent,
     /// An attempt may run at most once.
     NonIdempotent,
-    /// The answer is a stream of events; an attempt may run at most once unless it is resumable.
+    /// The response is a stream of events. An attempt may run at most once unless it is resumable.
     Stream,
 }
 
@@ -115,29 +116,29 @@
 pub struct Target {
     /// The service.
     pub service: Arc<str>,
-    /// Its share, relative to the other targets'.
+    /// The target's share of the requests, relative to the weights of the other targets.
     pub weight: u32,
 }
 
-/// A group of upstreams that answer the same requests.
+/// A group of upstreams that serve the same requests.
 #[derive(Clone, Debug)]
 pub struct Service {
     /// Its name.
     pub name: Arc<str>,
-    /// The connections that one upstream accepts from all instances together.
+    /// The number of connections that one upstream accepts from all instances together.
     pub connections: usize,
-    /// What its upstreams can hold, if they are model engines.
+    /// The capacity of its upstreams, if they are model engines.
     pub engine: Option<Engine>,
 }
 
-/// What each model engine of a service can hold.
+/// The capacity of each model engine of a service.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    /// The requests that run at once.
+    /// The number of requests that it runs concurrently.
     pub slots: usize,
-    /// The tokens that fit into its cache.
+    /// The size of its cache, in tokens.
     pub cache_tokens: u64,
-    /// The adapters that it holds at once, those being loaded included.
+    /// The number of adapters that it holds at once, including those being loaded.
     pub adapter_places: usize,
     /// The memory for weights and adapters, in MB.
     pub weights_mb: f64,
@@ -150,29 +151,29 @@
 pub struct Model {
     /// Its name.
     pub name: Arc<str>,
-    /// The memory that it takes, in MB.
+    /// The memory that its weights take, in MB.
     pub weights_mb: f64,
     /// The memory that one of its adapters takes, in MB.
     pub adapter_mb: f64,
-    /// How long it loads from the weight store when nothing else loads.
+    /// How long it takes to load from the weight store when nothing else is being loaded.
     pub load_time: Duration,
 }
 
-/// What a client may send, and how long it may take or stay idle.
+/// Limits on the size of client requests, and on the time for sending them and between them.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// The longest head, in bytes.
+    /// The maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// The longest body, in bytes.
+    /// The maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// The longest time from the first byte of a head to its end.
+    /// The maximum time from the first byte of a request head to its end.
     pub head_time: Duration,
-    /// The longest time between two requests on a connection.
+    /// The maximum time between two requests on a connection.
     pub idle_time: Duration,
 }
 
 impl Default for Limits {
-    /// Returns what holds until a configuration is known: the usual limits of HTTP servers.
+    /// Returns the limits in effect until a configuration is known, which are usual for HTTP servers.
     fn default() -> Self {
         Self {
             head_bytes: 16 << 10,
--- a/crates/orioleroute/src/ingress/deadline.rs
+++ b/crates/orioleroute/src/ingress/deadline.rs
@@ -1,29 +1,30 @@
-//! How long a request has been under way at its client, from how long the client still waits.
+//! Estimates how long a client has been waiting from the time left until its deadline.
 //!
-//! Load pattern: refused clients that come back in a burst. Their objective has been running since
-//! their first attempt, which only their shorter deadline shows.
+//! Load pattern: refused clients that retry in a burst. Their objective counts from their first
+//! attempt, and only the shorter deadline of a retry shows that there was one.
 
 use crate::prelude::*;
 
-/// The span over which the longest deadline is looked for; a route has many first attempts in it.
-const SPAN: Duration = Duration::from_secs(10);
+/// Window over which the longest deadline is determined. A route gets many first attempts in it.
+const WINDOW: Duration = Duration::from_secs(10);
 
-/// The longest deadline that the clients of one route have shown lately.
+/// The longest deadline that clients of one route have had in the current and the previous window.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Longest {
     current: Duration,
-    former: Duration,
+    previous: Duration,
     since: Instant,
 }
 
 impl Longest {
-    /// Takes note of how long a client still waits, and returns for how long it has been waiting.
+    /// Records the time left until a client's deadline, and returns how long the client is estimated to
+    /// have been waiting.
     pub fn elapsed(&mut self, time_left: Duration, now: Instant) -> Duration {
-        if now.since(self.since) >= SPAN {
-            self.former = std::mem::take(&mut self.current);
+        if now.since(self.since) >= WINDOW {
+            self.previous = std::mem::take(&mut self.current);
             self.since = now;
         }
         self.current = self.current.max(time_left);
-        self.current.max(self.former).saturating_sub(time_left)
+        self.current.max(self.previous).saturating_sub(time_left)
     }
 }
--- a/crates/orioleroute/src/ingress/health.rs
+++ b/crates/orioleroute/src/ingress/health.rs
@@ -1,25 +1,26 @@
-//! Which upstream of a plain service gets a request.
+//! The health of upstreams, by which requests to plain services are balanced.
 //!
-//! Load pattern: an upstream that fails or crawls while its own health check passes, and an
-//! upstream that has just ended. Health is judged from the outcomes of requests alone, relative to
-//! the other upstreams of the service, so that errors that all of them return eject none.
+//! Load pattern: an upstream that fails or is slow while its own health check passes, and an upstream
+//! that has just stopped. Health is derived from the outcomes of requests alone, and compared between
+//! the upstreams of a service, so that errors that all of them return do not eject any.
 
 use crate::prelude::*;
 
-/// The weight of the newest outcome in an upstream's failure rate: after about ten outcomes an
-/// old failure has lost two thirds of its weight.
+/// Weight of the newest outcome in the moving averages of failure rate and latency: after about ten
+/// outcomes an old failure has lost two thirds of its weight.
 const SMOOTHING: f64 = 0.1;
 
-/// How long an upstream that could not be reached gets no requests, at first.
-const FIRST_EJECTION: Duration = Duration::from_millis(300);
+/// Duration of the first ejection of an unreachable upstream. It doubles with each further one until
+/// the upstream answers a request.
+const BASE_EJECTION: Duration = Duration::from_millis(300);
 
-/// The longest ejection, about the time that a restarted upstream takes to be listed again.
-const LONGEST_EJECTION: Duration = Duration::from_millis(2_000);
+/// Maximum duration of an ejection, about the time that a restarted upstream takes to be listed again.
+const MAX_EJECTION: Duration = Duration::from_millis(2_000);
 
-/// The cost of a failure in seconds of latency: a retry elsewhere takes a whole service time.
+/// Cost of a failure in seconds of latency: a retry at another upstream takes a whole service time.
 const FAILURE_COST_S: f64 = 0.5;
 
-/// How one upstream has answered lately.
+/// The health of one upstream, from the outcomes of recent requests.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     failure_rate: f64,
@@ -32,32 +33,32 @@
 /// How an exchange with an upstream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The upstream answered within this time.
+    /// The upstream answered after this time.
     Answered(Duration),
-    /// It declined to run the request, being full or draining.
+    /// The upstream declined to run the request, because it was full or draining.
     Declined,
-    /// It answered with an error of its own.
+    /// The upstream answered with an error of its own.
     Erred,
-    /// It broke off, stayed silent or sent what is no answer.
+    /// The upstream closed the connection early, timed out or sent an invalid response.
     Broken,
-    /// It could not be reached.
+    /// The upstream could not be reached.
     Unreachable,
-    /// The instance gave the exchange up, which says nothing about the upstream.
+    /// The instance cancelled the exchange, which says nothing about the upstream.
     Abandoned,
 }
 
 impl Health {
-    /// Returns how many requests of this instance the upstream has.
+    /// Returns the number of this instance's requests in flight at the upstream.
     pub fn outstanding(&self) -> usize {
         self.outstanding
     }
 
-    /// Takes note of a request that is sent.
+    /// Records the start of an exchange.
     pub fn begin(&mut self) {
         self.outstanding += 1;
     }
 
-    /// Takes note of the end of an exchange.
+    /// Records the outcome of an exchange.
     pub fn end(&mut self, outcome: Outcome, now: Instant) {
         self.outstanding = self.outstanding.saturating_sub(1);
         let failure = match outcome {
@@ -77,13 +78,13 @@
         self.failure_rate += SMOOTHING * (failure - self.failure_rate);
     }
 
-    /// Returns whether the upstream gets no requests for now.
+    /// Returns whether the upstream is ejected, so that it gets no requests.
     pub fn is_ejected(&self, now: Instant) -> bool {
         now < self.ejected_until
     }
 
-    /// Returns the expected cost of a request in seconds, for an upstream with these slots that is
-    /// `distance` away.
+    /// Returns the expected cost of a request in seconds, for an upstream with `slots` request slots at
+    /// a network latency of `distance`.
     pub fn cost(&self, slots: usize, distance: Duration) -> f64 {
         let load = self.outstanding as f64 / slots.max(1) as f64;
         let latency = self.latency_s * (1.0 + load) + distance.as_secs_f64();
@@ -91,8 +92,8 @@
     }
 
     fn eject(&mut self, now: Instant) {
-        let span = FIRST_EJECTION * 2_u32.saturating_pow(self.ejections.min(8));
-        self.ejected_until = now + span.min(LONGEST_EJECTION);
+        let span = BASE_EJECTION * 2_u32.saturating_pow(self.ejections.min(8));
+        self.ejected_until = now + span.min(MAX_EJECTION);
         self.ejections += 1;
     }
 }
--- a/crates/orioleroute/src/ingress/mod.rs
+++ b/crates/orioleroute/src/ingress/mod.rs
@@ -1,8 +1,8 @@
-//! Requests that come in by host and path, and what an instance knows to answer them.
+//! Requests that are routed by host and path, and the state that an instance needs to route them.
 //!
-//! This is the second way into the core, beside documents that the instances accept among
-//! themselves: the configuration is accepted elsewhere and only read here. `docs/PLATFORM.md` tells
-//! which program uses which.
+//! This is an alternative to configuration documents that the instances accept among themselves:
+//! here the configuration is accepted elsewhere and only read. `docs/PLATFORM.md` describes which
+//! program uses which.
 
 pub mod attempt;
 pub mod configuration;
--- a/crates/orioleroute/src/ingress/registry.rs
+++ b/crates/orioleroute/src/ingress/registry.rs
@@ -1,19 +1,20 @@
-//! The upstreams that are there, through outages of the list that names them.
+//! The registered upstreams, which survive outages of the list that they are read from.
 
 use super::upstream::{Description, State};
 use crate::prelude::*;
 
-/// How long after the list's return an upstream that is missing still counts as there: it writes
-/// its entry again at its next heartbeat, which takes up to two seconds.
-pub const RETURN_GRACE: Duration = Duration::from_millis(2_200);
+/// How long after an outage of the list a missing upstream stays registered. An upstream writes its
+/// entry again at its next heartbeat, which takes up to two seconds.
+pub const RECOVERY_GRACE: Duration = Duration::from_millis(2_200);
 
-/// A silence of the list that is longer counts as an outage; the long poll answers sooner.
-pub const OUTAGE_AFTER: Duration = Duration::from_millis(6_000);
+/// Time without an answer from the list after which it counts as unavailable. A long poll answers
+/// sooner than that.
+pub const OUTAGE_TIMEOUT: Duration = Duration::from_millis(6_000);
 
-/// The upstreams that are there.
+/// The registered upstreams.
 ///
-/// An upstream whose entry lapsed during an outage of the list is kept until [`RETURN_GRACE`] after
-/// the list is back, since its heartbeats could not arrive.
+/// An upstream whose entry expired during an outage of the list is kept until [`RECOVERY_GRACE`]
+/// after the list has recovered, because its heartbeats could not arrive.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
     upstreams: Map<Arc<str>, Description>,
@@ -22,39 +23,39 @@
     last_outage: Option<Instant>,
 }
 
-/// One change of the list.
+/// A change to the list.
 #[derive(Clone, Debug)]
 pub enum Change {
     /// An entry was written.
     Written(Description),
-    /// An entry was removed, or can no longer be read.
+    /// An entry was removed or can no longer be decoded.
     Removed(Arc<str>),
 }
 
 impl Registry {
-    /// Returns the upstreams that are there, those that leave included.
+    /// Returns the registered upstreams, including draining ones.
     pub fn iter(&self) -> impl Iterator<Item = &Description> {
         self.upstreams.values()
     }
 
-    /// Returns an upstream that is there.
+    /// Returns the registered upstream with this id.
     pub fn get(&self, id: &str) -> Option<&Description> {
         self.upstreams.get(id)
     }
 
-    /// Returns the upstreams of a service that take requests.
+    /// Returns the upstreams of a service that accept requests.
     pub fn ready<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Description> {
         self.iter()
             .filter(move |upstream| &*upstream.service == service && upstream.state == State::Ready)
     }
 
-    /// Takes note that the list does not answer.
+    /// Records that the list does not answer.
     pub fn lose(&mut self, now: Instant) {
         self.unavailable = true;
         self.last_outage = Some(now);
     }
 
-    /// Replaces all entries by a complete reading of the list.
+    /// Replaces all entries with a complete snapshot of the list.
     pub fn replace(&mut self, entries: impl IntoIterator<Item = Description>, now: Instant) {
         self.recover(now);
         let entries: Vec<Description> = entries.into_iter().collect();
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Applies changes in their order.
+    /// Applies changes to the list in order.
     pub fn apply(&mut self, changes: impl IntoIterator<Item = Change>, now: Instant) {
         self.recover(now);
         for change in changes {
@@ -80,7 +81,8 @@
         }
     }
 
-    /// Drops upstreams that are still missing after an outage, and returns whether any was.
+    /// Removes upstreams that are still missing after the grace period, and returns whether there were
+    /// any.
     pub fn expire(&mut self, now: Instant) -> bool {
         if self.unavailable {
             return false;
@@ -102,7 +104,7 @@
         if std::mem::take(&mut self.unavailable) {
             self.last_outage = Some(now);
             for until in self.missing.values_mut() {
-                *until = now + RETURN_GRACE;
+                *until = now + RECOVERY_GRACE;
             }
         }
     }
@@ -114,12 +116,12 @@
 
     fn remove(&mut self, id: &Arc<str>, now: Instant) {
         let Some(entry) = self.upstreams.get(id) else { return };
-        let lapsed_in_outage =
-            self.last_outage.is_some_and(|outage| now.since(outage) < RETURN_GRACE);
-        match lapsed_in_outage && entry.state == State::Ready {
+        let expired_in_outage =
+            self.last_outage.is_some_and(|outage| now.since(outage) < RECOVERY_GRACE);
+        match expired_in_outage && entry.state == State::Ready {
             true => {
                 let outage = self.last_outage.unwrap_or(now);
-                self.missing.entry(id.clone()).or_insert(outage + RETURN_GRACE);
+                self.missing.entry(id.clone()).or_insert(outage + RECOVERY_GRACE);
             }
             false => {
                 self.upstreams.remove(id);
--- a/crates/orioleroute/src/ingress/roster.rs
+++ b/crates/orioleroute/src/ingress/roster.rs
@@ -1,57 +1,58 @@
-//! The instances that clients may use, from heartbeats between them.
+//! The instances that clients may use, as determined from heartbeats between instances.
 
 use std::net::SocketAddr;
 
 use crate::prelude::*;
 
-/// How often an instance sends a heartbeat to each other one of its region.
+/// Interval between heartbeats from an instance to each other one of its region.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Heartbeats in the own region for each one to another region, where bytes cost more and nobody waits
-/// for an instance to fail.
-pub const FAR_INTERVALS: u32 = 5;
+/// Number of heartbeat intervals between heartbeats to an instance of another region. Traffic between
+/// regions costs more, and nothing there depends on the quick detection of a failed instance.
+pub const REMOTE_INTERVALS: u32 = 5;
 
-/// The intervals without a heartbeat after which an instance is left out of answers to clients: two lost
-/// ones and the delay of a busy processor.
+/// Number of intervals without a heartbeat after which an instance is left out of answers to clients.
+/// This allows for two lost heartbeats and the delay of a busy processor.
 const SUSPECT_INTERVALS: f64 = 3.25;
 
-/// The intervals after which an instance counts as failed, and another may take its duties over.
+/// Number of intervals without a heartbeat after which an instance counts as failed, and another one
+/// may take over its duties.
 const FAILED_INTERVALS: f64 = 6.5;
 
-/// The most addresses in an answer to a client.
+/// Maximum number of addresses in an answer to a client.
 pub const MAX_ADDRESSES: usize = 64;
 
-/// One instance as it announces itself in the table.
+/// The entry that an instance writes for itself in the table.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// The instance's name.
     pub name: Arc<str>,
-    /// Distinguishes its starts.
+    /// A number that differs between starts of the instance.
     pub incarnation: u64,
-    /// Its region.
+    /// The instance's region.
     pub region: Arc<str>,
-    /// Its availability zone.
+    /// The instance's availability zone.
     pub zone: Arc<str>,
-    /// Where clients connect.
+    /// The address for clients.
     pub caller_address: SocketAddr,
-    /// Where other instances connect, and where they send heartbeats.
+    /// The address for connections and heartbeats of other instances.
     pub peer_address: SocketAddr,
-    /// What it can carry, in hundredths of a processor core.
+    /// The instance's capacity, in hundredths of a processor core.
     pub capacity: u32,
 }
 
-/// What an instance tells the others at regular times.
+/// A heartbeat, which an instance sends to the others at regular intervals.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub struct Heartbeat {
     /// The sender's name.
     pub name: Arc<str>,
-    /// The sender's start.
+    /// The sender's incarnation.
     pub incarnation: u64,
-    /// Whether clients may use it.
+    /// Whether clients may use the sender.
     pub is_serving: bool,
 }
 
-/// The instances as one of them knows them.
+/// The instances that are known to one of them.
 #[derive(Clone, Debug)]
 pub struct Roster {
     own: Member,
@@ -62,18 +63,18 @@
 #[derive(Clone, Debug)]
 struct Peer {
     member: Member,
-    known_since: Instant,
-    heard: Option<Instant>,
+    added: Instant,
+    last_heartbeat: Option<Instant>,
     is_serving: bool,
 }
 
 impl Roster {
-    /// Returns the roster of an instance that knows only itself.
+    /// Returns a roster that contains only the instance `own`.
     pub fn new(own: Member) -> Self {
         Self { own, is_serving: false, peers: Map::default() }
     }
 
-    /// Returns this instance.
+    /// Returns the entry of this instance.
     pub fn own(&self) -> &Member {
         &self.own
     }
@@ -83,7 +84,7 @@
         self.is_serving = is_serving;
     }
 
-    /// Takes note of an instance's entry in the table.
+    /// Adds or updates another instance from its entry in the table.
     pub fn admit(&mut self, member: Member, now: Instant) {
         if member.name == self.own.name {
             return;
@@ -93,8 +94,8 @@
             _ => {
                 let peer = Peer {
                     member: member.clone(),
-                    known_since: now,
-                    heard: None,
+                    added: now,
+                    last_heartbeat: None,
                     is_serving: true,
                 };
                 self.peers.insert(member.name, peer);
@@ -102,20 +103,20 @@
         }
     }
 
-    /// Takes note that an instance's entry was removed.
+    /// Removes an instance whose entry in the table was removed.
     pub fn remove(&mut self, name: &str) {
         self.peers.remove(name);
     }
 
-    /// Takes note of a heartbeat.
+    /// Records a heartbeat. Those of unknown instances are ignored.
     pub fn hear(&mut self, heartbeat: &Heartbeat, now: Instant) {
         if let Some(peer) = self.peers.get_mut(&heartbeat.name) {
-            peer.heard = Some(now);
+            peer.last_heartbeat = Some(now);
             peer.is_serving = heartbeat.is_serving;
         }
     }
 
-    /// Returns the heartbeat to send now.
+    /// Returns the heartbeat of this instance.
     pub fn heartbeat(&self) -> Heartbeat {
         Heartbeat {
             name: self.own.name.clone(),
@@ -124,12 +125,12 @@
         }
     }
 
-    /// Returns every other instance that is listed.
+    /// Returns the other listed instances.
     pub fn peers(&self) -> impl Iterator<Item = &Member> {
         self.peers.values().map(|peer| &peer.member)
     }
 
-    /// Returns an instance that is listed, this one included.
+    /// Returns the listed instance with this name, which may be this one.
     pub fn member(&self, name: &str) -> Option<&Member> {
         if *name == *self.own.name {
             return Some(&self.own);
@@ -137,50 +138,52 @@
         self.peers.get(name).map(|peer| &peer.member)
     }
 
-    /// Returns whether an instance is listed and has not been silent for so long that it has failed.
+    /// Returns whether an instance is listed and does not count as failed.
     pub fn is_alive(&self, name: &str, now: Instant) -> bool {
-        self.is_heard(name, FAILED_INTERVALS, now)
+        self.is_recent(name, FAILED_INTERVALS, now)
     }
 
-    /// Returns the instances that can take duties on: those that serve and have not failed, this one
-    /// included if it serves.
+    /// Returns the instances that can take on duties: those that are serving and have not failed,
+    /// including this one if it is serving.
     pub fn serving(&self, now: Instant) -> Vec<&Member> {
-        let peers = self
-            .peers
-            .values()
-            .filter(|peer| peer.is_serving && self.hears(peer, FAILED_INTERVALS, now));
+        let peers = self.peers.values().filter(|peer| {
+            peer.is_serving && self.has_recent_heartbeat(peer, FAILED_INTERVALS, now)
+        });
         let own = self.is_serving.then_some(&self.own);
         own.into_iter().chain(peers.map(|peer| &peer.member)).collect()
     }
 
-    /// Returns whether an instance is listed and has been heard lately.
+    /// Returns whether an instance is listed and has sent a recent heartbeat.
     pub fn is_responsive(&self, name: &str, now: Instant) -> bool {
-        self.is_heard(name, SUSPECT_INTERVALS, now)
+        self.is_recent(name, SUSPECT_INTERVALS, now)
     }
 
-    /// Returns how many heartbeat intervals pass between two heartbeats to a member.
+    /// Returns the number of heartbeat intervals between two heartbeats to a member.
     pub fn intervals(&self, member: &Member) -> u32 {
-        if member.region == self.own.region { 1 } else { FAR_INTERVALS }
+        if member.region == self.own.region { 1 } else { REMOTE_INTERVALS }
     }
 
-    fn is_heard(&self, name: &str, intervals: f64, now: Instant) -> bool {
+    fn is_recent(&self, name: &str, intervals: f64, now: Instant) -> bool {
         let is_own = *name == *self.own.name;
-        is_own || self.peers.get(name).is_some_and(|peer| self.hears(peer, intervals, now))
+        is_own
+            || self
+                .peers
+                .get(name)
+                .is_some_and(|peer| self.has_recent_heartbeat(peer, intervals, now))
     }
 
-    fn hears(&self, peer: &Peer, intervals: f64, now: Instant) -> bool {
+    fn has_recent_heartbeat(&self, peer: &Peer, intervals: f64, now: Instant) -> bool {
         let interval = HEARTBEAT_INTERVAL * self.intervals(&peer.member);
-        now.since(peer.heard.unwrap_or(peer.known_since)) < interval.mul_f64(intervals)
+        now.since(peer.last_heartbeat.unwrap_or(peer.added)) < interval.mul_f64(intervals)
     }
 
-    /// Returns the addresses for a client in `region` and `zone`: the serving instances of its
-    /// region, else those of all regions, and this instance when no other is known.
+    /// Returns the addresses for a client in `region`: those of the serving instances of the region,
+    /// or of all regions if it has none. The list is empty if no instance is serving.
     pub fn addresses(&self, region: &str, now: Instant) -> Vec<SocketAddr> {
         let own = self.is_serving.then_some(&self.own);
-        let peers = self
-            .peers
-            .values()
-            .filter(|peer| peer.is_serving && self.hears(peer, SUSPECT_INTERVALS, now));
+        let peers = self.peers.values().filter(|peer| {
+            peer.is_serving && self.has_recent_heartbeat(peer, SUSPECT_INTERVALS, now)
+        });
         let serving: Vec<&Member> = own.into_iter().chain(peers.map(|peer| &peer.member)).collect();
         let near = serving.iter().filter(|member| *member.region == *region);
         let mut addresses: Vec<SocketAddr> = near.map(|member| member.caller_address).collect();
--- a/crates/orioleroute/src/ingress/upstream.rs
+++ b/crates/orioleroute/src/ingress/upstream.rs
@@ -1,39 +1,41 @@
-//! What an upstream reports about itself.
+//! The descriptions that upstreams publish of themselves.
 
 use std::net::SocketAddr;
 
 use crate::prelude::*;
 
-/// What an upstream reports about itself.
+/// The description that an upstream publishes of itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Description {
     /// The upstream's id.
     pub id: Arc<str>,
     /// The service that it belongs to.
     pub service: Arc<str>,
-    /// Where it takes requests.
+    /// The address for requests.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// The upstream's availability zone.
     pub zone: Arc<str>,
-    /// The requests that it runs at once.
+    /// The number of requests that it runs concurrently.
     pub slots: usize,
-    /// Whether it stays.
+    /// Whether it accepts requests.
     pub state: State,
-    /// Its start, in milliseconds since the Unix epoch: with the id, one incarnation.
+    /// The upstream's start time, in milliseconds since the Unix epoch. Together with the id it
+    /// identifies one incarnation.
     pub started_ms: u64,
-    /// The orders that it has accepted since its start.
+    /// The number of orders that it has accepted since its start.
     pub orders: u64,
     /// The base models that it holds.
     pub models: Vec<Model>,
 }
 
 impl Description {
-    /// Returns whether it holds the base model `name`.
+    /// Returns whether the upstream holds the base model `name`.
     pub fn has_model(&self, name: &str) -> bool {
         self.models.iter().any(|model| &*model.name == name)
     }
 
-    /// Returns the version in which it holds the adapter on the base model.
+    /// Returns the version of an adapter that the upstream holds on a base model, or `None` if it does
+    /// not hold the adapter.
     pub fn version(&self, model: &str, adapter: &str) -> Option<u64> {
         let mut models = self.models.iter().filter(|held| &*held.name == model);
         let revisions = models.next().map(|held| held.adapters.as_slice()).unwrap_or_default();
@@ -42,31 +44,31 @@
     }
 }
 
-/// Whether an upstream stays.
+/// Whether an upstream accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum State {
-    /// It takes requests.
+    /// The upstream accepts requests.
     Ready,
-    /// It leaves, and takes no new requests.
+    /// The upstream is shutting down and accepts no new requests.
     Draining,
 }
 
 /// A base model that an upstream holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Model {
-    /// Its name.
+    /// The model's name.
     pub name: Arc<str>,
-    /// The adapters on it.
+    /// The adapters that are loaded on the model.
     pub adapters: Vec<Revision>,
 }
 
-/// An adapter in one version.
+/// A version of an adapter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Revision {
     /// The adapter's name.
     pub name: Arc<str>,
-    /// Its version.
+    /// The adapter's version.
     pub version: u64,
 }
 
--- a/crates/orioleroute/src/scheduler/admission.rs
+++ b/crates/orioleroute/src/scheduler/admission.rs
@@ -1,9 +1,9 @@
-//! Which requests are refused, when, and when their clients are to come back.
+//! Admission control: which requests are refused, when, and how long their clients should back off.
 //!
-//! Load pattern: a burst beyond what the engines can read. A request that would start only after
-//! its objective is worth a fraction, and every request behind it becomes late in turn; it is
-//! refused on arrival, so that its client can come back when the queue is short, or go elsewhere.
-//! A late request is taken only while the engines would otherwise have little to do.
+//! Load pattern: a burst beyond the prefill throughput of the engines. A request that starts only
+//! after its objective is worth a fraction of one on time, and delays every request behind it. It is
+//! refused on arrival, so that its client can retry when the queue is short, or go elsewhere. A
+//! request that would be late is admitted only while the engines have little else to do.
 
 use super::Request;
 use super::message::Reason;
@@ -11,28 +11,29 @@
 use crate::hash;
 use crate::prelude::*;
 
-/// The queue up to which a request that would be late is taken all the same.
+/// Queueing delay up to which a request is admitted even if it would be late.
 const IDLE_QUEUE: Duration = Duration::from_millis(150);
 
-/// The part of the time to the objective that the expected start may take: the rest is for the
-/// error of the estimate.
+/// Share of the time to the objective that may pass before the expected start. The rest allows for
+/// errors of the estimate.
 const START_SHARE: f64 = 0.9;
 
-/// A request that is not taken.
+/// The refusal of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// The reason for the refusal.
     pub reason: Reason,
-    /// When a place is likely.
+    /// How long the client should wait before it retries.
     pub retry_after: Duration,
 }
 
-/// Decides whether a request waits, given how long it will take to its first event and how much of
-/// that it waits for others.
+/// Decides whether to admit a request, given the expected time to its first event and the part of
+/// that time that is queueing delay.
 ///
 /// # Errors
 ///
-/// Fails with the refusal to send at once.
+/// Returns the refusal if the expected start is past the deadline, or if the request would be late
+/// and no exception applies.
 pub fn admit(
     request: &Request,
     step: Step,
@@ -46,13 +47,14 @@
         return Err(Refusal { reason: Reason::TooLate, retry_after });
     }
     let is_on_time = expected_start <= request.objective.since(now).mul_f64(START_SHARE);
-    let is_taken_late = match request.is_return {
-        // Late is better than refused again, unless it would be given up while it waits.
-        true => expected_start <= longest_wait(request).mul_f64(START_SHARE),
-        // A late answer is worth less than what fetching its adapter takes from others.
+    let is_admitted_late = match request.is_return {
+        // A late response is better than a second refusal, unless the request would time out while it
+        // waits.
+        true => expected_start <= max_wait(request).mul_f64(START_SHARE),
+        // A late response is worth less than the delay that fetching its adapter causes for others.
         false => queue <= IDLE_QUEUE && !step.is_fetch(),
     };
-    match is_on_time || is_taken_late {
+    match is_on_time || is_admitted_late {
         true => Ok(()),
         false => {
             let retry_after = retry_after(request, queue, now);
@@ -61,48 +63,48 @@
     }
 }
 
-/// Returns whether a request that has been taken may go on waiting. One that has become late is
-/// given a little more, since engines that fall behind seldom catch up with it; its client can still
-/// be served by coming back.
+/// Returns whether an admitted request may continue to wait. A request that has become late may wait
+/// only a little longer, because engines that fall behind seldom catch up; its client can still be
+/// served on a retry.
 pub fn may_wait(request: &Request, now: Instant) -> bool {
-    now.since(request.arrived) < longest_wait(request)
+    now.since(request.arrived) < max_wait(request)
 }
 
-/// Returns how long a request waits before it is given up.
-fn longest_wait(request: &Request) -> Duration {
-    let whole = request.deadline.since(request.arrived);
+/// Returns how long a request waits before it is refused.
+fn max_wait(request: &Request) -> Duration {
+    let total = request.deadline.since(request.arrived);
     let to_objective = request.objective.since(request.arrived);
-    (to_objective + LATE_WAIT).max(whole.mul_f64(WAIT_SHARE))
+    (to_objective + MAX_LATE_WAIT).max(total.mul_f64(MIN_WAIT_SHARE))
 }
 
-/// How much longer than to its objective a request waits.
-const LATE_WAIT: Duration = Duration::from_millis(300);
+/// How long a request may wait beyond its objective.
+const MAX_LATE_WAIT: Duration = Duration::from_millis(300);
 
-/// The part of a client's time that a request may wait in any case.
-const WAIT_SHARE: f64 = 0.25;
+/// Share of the time from arrival to deadline that a request may wait in any case.
+const MIN_WAIT_SHARE: f64 = 0.25;
 
-/// Returns when a refused client is to come back: once what waits now has been read, if it can then
-/// still be on time; else as late as clients take advice, spread out, since bursts last for seconds
-/// and it is late in any case.
+/// Returns how long a refused client should wait before it retries: until the current queue has been
+/// processed, if a retry can then still be on time; otherwise for the longest time that clients
+/// accept, with jitter, because bursts last for seconds and the request is late in any case.
 pub fn retry_after(request: &Request, queue: Duration, now: Instant) -> Duration {
-    let soon = queue.max(SOONEST_RETRY);
+    let soon = queue.max(MIN_RETRY_AFTER);
     if soon <= request.objective.since(now).mul_f64(ON_TIME_SHARE) {
         return soon;
     }
-    let spread = hash::digest(&request.attempt) as f64 / u64::MAX as f64;
-    let share = RETRY_SHARE * (1.0 - RETRY_SPREAD * spread);
-    request.deadline.since(now).mul_f64(share).max(SOONEST_RETRY)
+    let jitter = hash::digest(&request.attempt) as f64 / u64::MAX as f64;
+    let share = MAX_RETRY_SHARE * (1.0 - RETRY_JITTER * jitter);
+    request.deadline.since(now).mul_f64(share).max(MIN_RETRY_AFTER)
 }
 
-/// The soonest time after which a refused client is told to come back.
-const SOONEST_RETRY: Duration = Duration::from_millis(100);
+/// Minimum time that a refused client is told to wait before it retries.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// The part of the time to the objective after which a client may come back and still be on time.
+/// Share of the time to the objective after which a retry can still be on time.
 const ON_TIME_SHARE: f64 = 0.4;
 
-/// The part of its time after which a client comes back at the latest: clients take advice up to a
-/// third.
-const RETRY_SHARE: f64 = 0.32;
+/// Maximum suggested delay, as a share of the time to the client's deadline. Clients follow a
+/// suggested delay of up to a third.
+const MAX_RETRY_SHARE: f64 = 0.32;
 
-/// The part of that time over which clients are spread.
-const RETRY_SPREAD: f64 = 0.5;
+/// Share of that delay that is randomised by jitter.
+const RETRY_JITTER: f64 = 0.5;
--- a/crates/orioleroute/src/scheduler/dispatch.rs
+++ b/crates/orioleroute/src/scheduler/dispatch.rs
@@ -1,30 +1,29 @@
-//! The requests that wait, and what is done for each as soon as it can be.
+//! Advances waiting requests: chooses an engine, reserves and awaits loads, and grants.
 
 use super::message::{Grant, Reason, ToInstance};
 use super::placement::{self, Step};
-use super::runner::{Place, PlaceState};
+use super::runner::{AdapterSlot, SlotState};
 use super::{Output, Request, Scheduler, Waiting, admission, queue};
 use crate::prelude::*;
 
 impl Scheduler {
-    /// Counts at each engine the prompts of the requests that wait for it and go before `rank`, or of
-    /// all that wait.
+    /// Sets each engine's queued prompt tokens to those of the requests that wait for it and are not
+    /// behind `rank`, or of all that wait for it if `rank` is `None`.
     pub(super) fn count_queues(&mut self, rank: Option<queue::Rank>, now: Instant) {
         for runner in self.runners.values_mut() {
             runner.queued_tokens = 0;
         }
         for waiting in &self.waiting {
-            let goes_before =
-                rank.is_none_or(|rank| queue::Rank::of(&waiting.request, now) <= rank);
+            let is_ahead = rank.is_none_or(|rank| queue::Rank::of(&waiting.request, now) <= rank);
             let target = waiting.target.and_then(|target| self.runners.get_mut(target));
-            if let (true, Some(runner)) = (goes_before, target) {
+            if let (true, Some(runner)) = (is_ahead, target) {
                 runner.queued_tokens += u64::from(runner.uncached_tokens(&waiting.request));
             }
         }
     }
 
-    /// Goes through the requests that wait, the most urgent first, and does for each what can be
-    /// done now.
+    /// Advances all waiting requests, the most urgent first, and then issues the next order to each
+    /// engine.
     pub(super) fn dispatch(&mut self, now: Instant) {
         self.load_missing_model(now);
         let mut waiting = std::mem::take(&mut self.waiting);
@@ -39,21 +38,21 @@
             }
             self.waiting.push(item);
         }
-        for key in self.by_urgency() {
-            self.give_orders(key, now);
+        for key in self.engines_by_urgency() {
+            self.issue_next_order(key, now);
         }
     }
 
-    /// Returns the engines, first those for which the most urgent requests wait, so that those get
-    /// the next fetches.
-    fn by_urgency(&self) -> Vec<key::Upstream> {
+    /// Returns all engines, beginning with those that the most urgent requests are assigned to, so
+    /// that these get the next fetches.
+    fn engines_by_urgency(&self) -> Vec<key::Upstream> {
         let mut seen = Set::default();
-        // What waits is in the order of its ranks after a pass.
+        // `dispatch` leaves the waiting requests sorted by rank.
         let wanted = self.waiting.iter().filter_map(|waiting| waiting.assigned);
         wanted.chain(self.runners.keys()).filter(|key| seen.insert(*key)).collect()
     }
 
-    /// Does for a request that waits what can be done now, and returns whether that was its last.
+    /// Advances a waiting request as far as possible, and returns whether it was granted or refused.
     pub(super) fn advance(&mut self, item: &mut Waiting, now: Instant) -> bool {
         if item.request.deadline <= now {
             self.unassign(item);
@@ -105,18 +104,19 @@
         now: Instant,
     ) -> bool {
         let runner = &self.runners[key];
-        let place = item.request.adapter.as_ref().and_then(|adapter| runner.places.get(adapter));
-        let is_present = place.is_some_and(|place| place.state == PlaceState::Present);
+        let slot =
+            item.request.adapter.as_ref().and_then(|adapter| runner.adapter_slots.get(adapter));
+        let is_present = slot.is_some_and(|slot| slot.state == SlotState::Present);
         let is_lost = runner.is_draining
             || runner.health.is_ejected(now)
-            || runner.is_silent && !is_present
-            || place.is_none_or(|place| !placement::is_current(place, &item.request));
+            || runner.is_unresponsive && !is_present
+            || slot.is_none_or(|slot| !placement::is_current(slot, &item.request));
         if is_lost {
             self.unassign(item);
             item.assigned = None;
             return self.advance(item, now);
         }
-        if is_present && runner.backlog() <= placement::ENGINE_QUEUE {
+        if is_present && runner.backlog() <= placement::MAX_ENGINE_BACKLOG {
             self.unassign(item);
             self.grant(key, item, now);
             return true;
@@ -126,34 +126,38 @@
 
     pub(super) fn assign(&mut self, key: key::Upstream, item: &mut Waiting, now: Instant) {
         item.assigned = Some(key);
-        if let Some(place) = self.place_of(key, &item.request) {
-            place.users += 1;
-            place.touch(now);
+        if let Some(slot) = self.adapter_slot(key, &item.request) {
+            slot.users += 1;
+            slot.record_request(now);
         }
     }
 
     pub(super) fn unassign(&mut self, item: &Waiting) {
         let Some(key) = item.assigned else { return };
-        let Some(place) = self.place_of(key, &item.request) else { return };
-        place.users = place.users.saturating_sub(1);
-        let is_unwanted = place.users == 0 && matches!(place.state, PlaceState::Reserved { .. });
+        let Some(slot) = self.adapter_slot(key, &item.request) else { return };
+        slot.users = slot.users.saturating_sub(1);
+        let is_unwanted = slot.users == 0 && matches!(slot.state, SlotState::Reserved { .. });
         if is_unwanted && let Some(adapter) = &item.request.adapter {
-            self.runners[key].places.remove(adapter);
+            self.runners[key].adapter_slots.remove(adapter);
         }
     }
 
-    pub(super) fn place_of(&mut self, key: key::Upstream, request: &Request) -> Option<&mut Place> {
-        self.runners.get_mut(key)?.places.get_mut(request.adapter.as_ref()?)
+    pub(super) fn adapter_slot(
+        &mut self,
+        key: key::Upstream,
+        request: &Request,
+    ) -> Option<&mut AdapterSlot> {
+        self.runners.get_mut(key)?.adapter_slots.get_mut(request.adapter.as_ref()?)
     }
 
     pub(super) fn grant(&mut self, key: key::Upstream, item: &Waiting, now: Instant) {
         let mut version = None;
-        if let Some(place) = self.place_of(key, &item.request) {
-            place.users += 1;
+        if let Some(slot) = self.adapter_slot(key, &item.request) {
+            slot.users += 1;
             if item.assigned.is_none() {
-                place.touch(now);
+                slot.record_request(now);
             }
-            version = place.version;
+            version = slot.version;
         }
         let runner = &mut self.runners[key];
         runner.begin(item.key, &item.request, now);
--- a/crates/orioleroute/src/scheduler/message.rs
+++ b/crates/orioleroute/src/scheduler/message.rs
@@ -1,4 +1,4 @@
-//! What instances and schedulers tell each other.
+//! The messages between instances and schedulers.
 
 use std::net::SocketAddr;
 
@@ -6,95 +6,95 @@
 use crate::ingress::health::Outcome;
 use crate::prelude::*;
 
-/// From an instance to a scheduler.
+/// A message from an instance to a scheduler.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(tag = "method", content = "params", rename_all = "snake_case")]
 pub enum ToScheduler {
-    /// Asks for a place to run a request.
+    /// Requests a grant to run a request.
     Place(Box<Placement>),
-    /// The engine has sent the first event.
+    /// The engine has sent the first event of the response.
     Started {
-        /// The request.
+        /// The ticket of the request.
         ticket: u64,
     },
-    /// The request has left the engine, or needs no place any more.
+    /// The request has ended at the engine, or no longer needs a grant.
     Ended {
-        /// The request.
+        /// The ticket of the request.
         ticket: u64,
-        /// How it ended at the engine; `None` if it was never sent.
+        /// How the request ended at the engine; `None` if it was never sent.
         result: Option<RunResult>,
     },
 }
 
-/// From a scheduler to an instance.
+/// A message from a scheduler to an instance.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(tag = "method", content = "params", rename_all = "snake_case")]
 pub enum ToInstance {
-    /// The request waits; the instance hears of it again.
+    /// The request is queued; a grant or a refusal follows.
     Queued {
-        /// The request.
+        /// The ticket of the request.
         ticket: u64,
     },
     /// The request may be sent to this engine now.
     Grant(Grant),
     /// The request will not be placed.
     Refuse {
-        /// The request.
+        /// The ticket of the request.
         ticket: u64,
-        /// When a place is likely, in milliseconds.
+        /// How long to wait before a retry, in milliseconds.
         retry_after_ms: u64,
-        /// Why.
+        /// The reason for the refusal.
         reason: Reason,
     },
 }
 
-/// A request that needs a place at a model engine.
+/// A request that needs a grant for a model engine.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub struct Placement {
-    /// The instance's number for the request.
+    /// The number that the instance has given to the request.
     pub ticket: u64,
     /// The client's id of the attempt, for the log.
     pub attempt: Option<Arc<str>>,
-    /// The availability zone whose engines it asks for.
+    /// The availability zone whose engines may run the request.
     pub zone: Arc<str>,
     /// The service.
     pub service: Arc<str>,
     /// The base model.
     pub model: Arc<str>,
-    /// The adapter.
+    /// The adapter, if the request uses one.
     pub adapter: Option<Arc<str>>,
-    /// The oldest version of the adapter that will do.
+    /// The oldest acceptable version of the adapter.
     pub version: Option<u64>,
-    /// The tokens of the prompt.
+    /// The length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// The most tokens of the output.
+    /// The maximum length of the output in tokens.
     pub output_tokens: u32,
-    /// The parts of the prompt.
+    /// The parts of the prompt, for prefix caching.
     pub parts: Vec<Part>,
-    /// The rank of the request; 0 is served first.
+    /// The priority of the request; 0 is the highest.
     pub priority: u8,
-    /// How long the client still waits, in milliseconds.
+    /// The time until the client's deadline, in milliseconds.
     pub time_left_ms: u64,
-    /// How long until the answer is late, in milliseconds; 0 if it is late already.
+    /// The time until the response is late, in milliseconds; 0 if it is late already.
     pub objective_left_ms: u64,
     /// Engines that have failed this request.
     pub excluded: Vec<Arc<str>>,
-    /// Whether the client was refused before and has come back.
+    /// Whether this is a retry of a client that was refused before.
     pub is_return: bool,
-    /// Whether its adapter may come from the weight store although other zones might have it.
+    /// Whether the adapter may be fetched from the weight store although another zone may hold it.
     pub may_fetch: bool,
 }
 
-/// A place at an engine.
+/// The right to run a request on an engine.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub struct Grant {
-    /// The request.
+    /// The ticket of the request.
     pub ticket: u64,
-    /// The engine.
+    /// The engine's id.
     pub upstream: Arc<str>,
-    /// Where it takes requests.
+    /// The engine's address for requests.
     pub address: SocketAddr,
-    /// The adapter's version that it holds, if known.
+    /// The version of the adapter that the engine holds, if known.
     pub version: Option<u64>,
 }
 
@@ -104,17 +104,17 @@
 pub enum RunResult {
     /// The engine answered.
     Answered,
-    /// The engine was full or leaving, and did not run it.
+    /// The engine was full or draining, and did not run the request.
     Declined,
-    /// The engine lacks the model or adapter, or is another one.
+    /// The engine lacks the model or adapter, or the address belongs to another engine.
     Misdirected,
     /// The engine answered with an error.
     Erred,
-    /// The engine broke off or stayed silent.
+    /// The engine closed the connection early or stopped responding.
     Broken,
     /// The engine could not be reached.
     Unreachable,
-    /// The client left, or the time was over.
+    /// The client disconnected, or the deadline passed.
     Abandoned,
 }
 
@@ -131,7 +131,7 @@
     }
 }
 
-/// Why a request is not placed.
+/// Why a request is refused.
 #[derive(
     Clone,
     Copy,
@@ -146,14 +146,14 @@
 #[strum(serialize_all = "snake_case")]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// It could not start before it is late, and more urgent work fills the engines.
+    /// The request would be late, and the engines are busy with more urgent work.
     Overloaded,
-    /// It could not start before its deadline.
+    /// The request could not start before its deadline, or has waited too long.
     TooLate,
-    /// No engine can run it.
+    /// No engine can run the request.
     NoEngine,
-    /// Its adapter is not here, and is more likely to be in its home zone.
+    /// The zone does not hold the adapter, whose home zone is more likely to hold it.
     NotHere,
-    /// This instance does not schedule the availability zone (any more).
+    /// The instance is not, or no longer, the scheduler of the availability zone.
     NotScheduler,
 }
--- a/crates/orioleroute/src/scheduler/mod.rs
+++ b/crates/orioleroute/src/scheduler/mod.rs
@@ -1,10 +1,10 @@
-//! The scheduler of one availability zone: it alone orders the zone's model engines, and places
-//! requests on them.
+//! The scheduler of one availability zone, the only one that issues orders to the zone's model
+//! engines and places requests on them.
 //!
-//! Instances ask it for a place and send the request to the engine themselves. That keeps waiting,
-//! batching and eviction in one head without relaying answers through it. The decisions stand in
-//! [`queue`], [`admission`] and [`placement`]; this module keeps the state between them. Nothing
-//! here reads a clock or a socket. `docs/PLATFORM.md` weighs the alternatives.
+//! Instances ask the scheduler for a grant and send the request to the engine themselves. Queueing,
+//! batching and eviction are thus decided in one process, which does not have to relay responses.
+//! The policies are in [`queue`], [`admission`] and [`placement`]; this module holds the state that
+//! they share. Nothing here reads a clock or a socket. `docs/PLATFORM.md` compares the alternatives.
 
 pub mod admission;
 mod dispatch;
@@ -32,20 +32,22 @@
 use message::{Placement, Reason, RunResult, ToInstance};
 use order::{Action, Order, Outcome, Report};
 use placement::{Candidate, Step};
-use runner::{Base, Certainty, PlaceState, Popularity, Runner};
+use runner::{BaseModel, Certainty, Popularity, Runner, SlotState};
 
-/// How long a new scheduler waits for reports, which lag, to show its predecessor's last orders.
+/// How long a new scheduler waits before it requests reports. Reports lag, and have to include the
+/// last orders of the previous scheduler.
 const TAKEOVER_DELAY: Duration = Duration::from_millis(400);
 
-/// The requests for an adapter in the last ten seconds from which on a zone fetches it although its
-/// home zone may have it: a fetch costs about as much as ten requests to another region.
-const POPULAR_REQUESTS: f64 = 3.0;
+/// Number of requests for an adapter in the last ten seconds at which a zone fetches it even though
+/// its home zone may hold it. A fetch costs about as much as ten requests to another region.
+const MIN_POPULAR_REQUESTS: f64 = 3.0;
 
-/// Adapters whose requests are counted at a time.
-const MAX_MISSES: usize = 1_024;
+/// Number of miss counters above which low ones are discarded.
+const MAX_MISS_COUNTERS: usize = 1_024;
 
-/// The popularity below which a count is dropped when there are too many.
-const FORGOTTEN_REQUESTS: f64 = 0.5;
+/// Popularity below which a miss counter is discarded once there are more than
+/// [`MAX_MISS_COUNTERS`].
+const MIN_KEPT_REQUESTS: f64 = 0.5;
 
 /// The scheduler of one availability zone.
 pub struct Scheduler {
@@ -55,8 +57,8 @@
     by_id: Map<Arc<str>, key::Upstream>,
     waiting: Vec<Waiting>,
     granted: Map<RequestKey, key::Upstream>,
-    newest: Map<(Arc<str>, Arc<str>), u64>,
-    /// How often adapters were asked for that were not here.
+    newest_versions: Map<(Arc<str>, Arc<str>), u64>,
+    /// Request counts of adapters that no engine of the zone held.
     misses: Map<Arc<str>, Popularity>,
     fetches: fetches::Window,
     outputs: Vec<Output>,
@@ -65,17 +67,17 @@
 struct Waiting {
     key: RequestKey,
     request: Request,
-    /// What was expected when it was taken.
+    /// The estimate made on admission.
     forecast: Forecast,
-    /// The engine that loads the request's adapter for it.
+    /// The engine that loads the request's adapter, once chosen.
     assigned: Option<key::Upstream>,
-    /// The engine that it would go to as things stand.
+    /// The engine that currently suits the request best.
     target: Option<key::Upstream>,
-    /// What has to happen before it can run, as things stand.
+    /// What currently has to happen before the request can run.
     step: Step,
 }
 
-/// What was expected of a request when it was taken.
+/// The estimate for a request, made on admission.
 #[derive(Clone, Copy)]
 struct Forecast {
     step: Step,
@@ -84,7 +86,7 @@
 }
 
 impl Scheduler {
-    /// Returns a scheduler that orders under the token `fencing`.
+    /// Returns a scheduler that issues its orders with the fencing token `fencing`.
     pub fn new(fencing: u64, configuration: Arc<Configuration>) -> Self {
         Self {
             fencing,
@@ -93,7 +95,7 @@
             by_id: Map::default(),
             waiting: Vec::new(),
             granted: Map::default(),
-            newest: Map::default(),
+            newest_versions: Map::default(),
             misses: Map::default(),
             fetches: fetches::Window::default(),
             outputs: Vec::new(),
@@ -105,27 +107,27 @@
         self.fencing
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Returns the engines.
+    /// Returns the engines known to the scheduler.
     pub fn runners(&self) -> impl Iterator<Item = &Runner> {
         self.runners.values()
     }
 
-    /// Takes what is to be done since the last call.
+    /// Takes the outputs produced since the last call, in order.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// Takes a configuration into force.
+    /// Replaces the active configuration.
     pub fn configure(&mut self, configuration: Arc<Configuration>) {
         self.configuration = configuration;
     }
 
-    /// Takes the zone's model engines as the list has them now.
+    /// Replaces the set of the zone's model engines. Engines that are no longer listed are removed.
     pub fn list<'a>(
         &mut self,
         descriptions: impl IntoIterator<Item = &'a Description>,
@@ -134,7 +136,7 @@
         let mut listed: Set<Arc<str>> = Set::default();
         for description in descriptions {
             listed.insert(description.id.clone());
-            self.describe(description, now);
+            self.apply_description(description, now);
         }
         let gone: Vec<Arc<str>> =
             self.by_id.keys().filter(|id| !listed.contains(*id)).cloned().collect();
@@ -144,14 +146,14 @@
         self.dispatch(now);
     }
 
-    /// Takes note of a newer version of an adapter.
+    /// Records the newest version of an adapter. An older version than the known one is ignored.
     pub fn announce(&mut self, announcement: &Announcement) {
         let key = (announcement.model.clone(), announcement.revision.name.clone());
-        let newest = self.newest.entry(key).or_default();
+        let newest = self.newest_versions.entry(key).or_default();
         *newest = (*newest).max(announcement.revision.version);
     }
 
-    /// Takes a request that needs a place.
+    /// Grants, queues or refuses a request.
     pub fn place(&mut self, client: Client, placement: Placement, now: Instant) {
         let key = RequestKey { client, ticket: placement.ticket };
         let may_fetch = placement.may_fetch;
@@ -187,24 +189,24 @@
             }
             Err(refusal) => {
                 self.decide(&request, refusal.reason.into(), None, forecast, now);
-                self.tell_refusal(key, refusal.reason, refusal.retry_after);
+                self.send_refusal(key, refusal.reason, refusal.retry_after);
             }
         }
     }
 
-    /// Counts a request for an adapter that is not here, and returns whether there have been so many
-    /// lately that the zone is to fetch it itself.
+    /// Counts a request for an adapter that the zone does not hold, and returns whether the adapter is
+    /// requested often enough for the zone to fetch it.
     fn is_popular(&mut self, request: &Request, now: Instant) -> bool {
         let Some(adapter) = &request.adapter else { return true };
-        if self.misses.len() > MAX_MISSES {
-            self.misses.retain(|_, misses| misses.at(now) >= FORGOTTEN_REQUESTS);
+        if self.misses.len() > MAX_MISS_COUNTERS {
+            self.misses.retain(|_, misses| misses.at(now) >= MIN_KEPT_REQUESTS);
         }
         let misses = self.misses.entry(adapter.clone()).or_default();
-        misses.touch(now);
-        misses.at(now) >= POPULAR_REQUESTS
+        misses.record_request(now);
+        misses.at(now) >= MIN_POPULAR_REQUESTS
     }
 
-    /// Takes note of a request's first event.
+    /// Handles the first event of a request's response.
     pub fn started(&mut self, key: RequestKey, now: Instant) {
         if let Some(runner) =
             self.granted.get(&key).and_then(|runner| self.runners.get_mut(*runner))
@@ -214,19 +216,20 @@
         self.dispatch(now);
     }
 
-    /// Takes note that a request needs its place no more.
+    /// Handles the end of a request, which is waiting or has been granted an engine.
     pub fn ended(&mut self, key: RequestKey, result: Option<RunResult>, now: Instant) {
         if let Some(index) = self.waiting.iter().position(|waiting| waiting.key == key) {
             let waiting = self.waiting.swap_remove(index);
             self.unassign(&waiting);
         }
         if let Some(upstream) = self.granted.remove(&key) {
-            self.land(upstream, key, result.unwrap_or(RunResult::Abandoned), now);
+            self.end_in_flight(upstream, key, result.unwrap_or(RunResult::Abandoned), now);
         }
         self.dispatch(now);
     }
 
-    /// Takes note that an instance is gone: what waits is dropped, what runs may go on.
+    /// Handles the disconnection of an instance: its waiting requests are dropped, its running ones may
+    /// continue.
     pub fn disconnected(&mut self, client: Client, now: Instant) {
         let (gone, rest) = std::mem::take(&mut self.waiting)
             .into_iter()
@@ -238,22 +241,22 @@
         self.dispatch(now);
     }
 
-    /// Refuses all that waits, since another scheduler has taken over.
+    /// Refuses all waiting requests, because another scheduler has taken over.
     pub fn abandon(&mut self) {
         for waiting in std::mem::take(&mut self.waiting) {
-            self.tell_refusal(waiting.key, Reason::NotScheduler, Duration::ZERO);
+            self.send_refusal(waiting.key, Reason::NotScheduler, Duration::ZERO);
         }
     }
 
-    /// Takes the answer to an order.
+    /// Handles the outcome of an order.
     pub fn ordered(&mut self, order: &Order, outcome: Outcome, now: Instant) {
         let Some(key) = self.by_id.get(&order.upstream).copied() else { return };
         let runner = &mut self.runners[key];
-        if runner.certainty == Certainty::Ordering {
+        if runner.certainty == Certainty::OrderPending {
             runner.certainty = Certainty::Known;
         }
-        runner.is_silent = matches!(outcome, Outcome::Unanswered | Outcome::Unsent);
-        if runner.is_silent {
+        runner.is_unresponsive = matches!(outcome, Outcome::Unanswered | Outcome::Unsent);
+        if runner.is_unresponsive {
             runner.health.begin();
             runner.health.end(Health::Broken, now);
         }
@@ -264,60 +267,62 @@
         self.observe_fetch(key, order, outcome, now);
         let runner = &mut self.runners[key];
         match &order.action {
-            Action::LoadModel => orders::model_ordered(runner, &order.model, outcome, now),
+            Action::LoadModel => {
+                orders::handle_model_load_outcome(runner, &order.model, outcome, now)
+            }
             Action::LoadAdapter { adapter, .. } => {
-                orders::adapter_ordered(runner, adapter, outcome, now)
+                orders::handle_adapter_load_outcome(runner, adapter, outcome, now)
             }
             Action::UnloadAdapter { adapter } => {
-                orders::unload_ordered(runner, adapter, outcome, now)
+                orders::handle_unload_outcome(runner, adapter, outcome, now)
             }
         }
         self.dispatch(now);
     }
 
-    /// Takes an engine's report, or `None` if none came.
+    /// Handles an engine's report, or `None` if the engine did not send one.
     pub fn reported(&mut self, upstream: &str, report: Option<&Report>, now: Instant) {
         let Some(key) = self.by_id.get(upstream).copied() else { return };
         let runner = &mut self.runners[key];
-        if !matches!(runner.certainty, Certainty::Asking) {
+        if !matches!(runner.certainty, Certainty::ReportPending) {
             return;
         }
         match report {
             Some(report) if report.started_ms.is_none_or(|start| start == runner.started_ms) => {
                 runner.certainty = Certainty::Known;
-                runner.is_silent = false;
+                runner.is_unresponsive = false;
                 runner.adopt_report(report, now);
             }
-            Some(_) | None => runner.certainty = Certainty::AskAt(now + orders::REPORT_DELAY),
+            Some(_) | None => runner.certainty = Certainty::ReportDue(now + orders::REPORT_DELAY),
         }
-        self.release_lost(key);
+        self.unassign_lost(key);
         self.dispatch(now);
     }
 
-    /// Lets time pass: looks after loads, reports and requests that nobody ends.
+    /// Checks due loads and reports, and expires requests whose end was never reported.
     pub fn tick(&mut self, now: Instant) {
-        self.expire_flights(now);
+        self.expire_in_flight(now);
         let keys: Vec<key::Upstream> = self.runners.keys().collect();
         for key in keys {
-            self.look_after(key, now);
+            self.check_engine(key, now);
         }
         self.dispatch(now);
     }
 
-    /// Returns when [`Scheduler::tick`] has something to do, if that is known.
+    /// Returns the time of the next due load check or report, if there is one.
     pub fn next_check(&self) -> Option<Instant> {
         let checks = self.runners.values().flat_map(|runner| {
-            let loads = runner.places.values().filter_map(|place| match place.state {
-                PlaceState::Loading { check_at, .. } => Some(check_at),
-                PlaceState::Present | PlaceState::Reserved { .. } | PlaceState::Unloading => None,
+            let loads = runner.adapter_slots.values().filter_map(|slot| match slot.state {
+                SlotState::Loading { check_at, .. } => Some(check_at),
+                SlotState::Present | SlotState::Reserved { .. } | SlotState::Unloading => None,
             });
-            let base = match runner.base {
-                Base::Loading { check_at, .. } => Some(check_at),
-                Base::Absent | Base::Present(_) => None,
+            let base = match runner.base_model {
+                BaseModel::Loading { check_at, .. } => Some(check_at),
+                BaseModel::Absent | BaseModel::Present(_) => None,
             };
             let report = match runner.certainty {
-                Certainty::AskAt(at) => Some(at),
-                Certainty::Known | Certainty::Ordering | Certainty::Asking => None,
+                Certainty::ReportDue(at) => Some(at),
+                Certainty::Known | Certainty::OrderPending | Certainty::ReportPending => None,
             };
             loads.chain(base).chain(report)
         });
@@ -327,7 +332,7 @@
     fn request(&self, placement: Placement, now: Instant) -> Request {
         let adapter = placement.adapter;
         let newest = adapter.as_ref().and_then(|adapter| {
-            self.newest.get(&(placement.model.clone(), adapter.clone())).copied()
+            self.newest_versions.get(&(placement.model.clone(), adapter.clone())).copied()
         });
         let parts = placement.parts.iter().map(|part| CachedPart {
             key: hash::digest(&(part.id, &adapter)),
@@ -351,7 +356,7 @@
         }
     }
 
-    fn describe(&mut self, description: &Description, now: Instant) {
+    fn apply_description(&mut self, description: &Description, now: Instant) {
         if let Some(key) = self.by_id.get(&description.id).copied() {
             let runner = &mut self.runners[key];
             if runner.started_ms == description.started_ms {
@@ -361,7 +366,7 @@
             self.drop_runner(&description.id);
         }
         let mut runner = Runner::new(description, now);
-        runner.certainty = Certainty::AskAt(now + TAKEOVER_DELAY);
+        runner.certainty = Certainty::ReportDue(now + TAKEOVER_DELAY);
         let key = self.runners.insert(runner);
         self.by_id.insert(description.id.clone(), key);
     }
@@ -398,17 +403,17 @@
     ) {
         let forecast = Forecast { step: Step::Use, start: Duration::ZERO, queue: Duration::ZERO };
         self.decide(request, reason.into(), None, forecast, now);
-        self.tell_refusal(key, reason, retry_after);
+        self.send_refusal(key, reason, retry_after);
     }
 
-    /// Refuses a request that has waited in vain.
+    /// Refuses a request that has waited too long.
     fn refuse_late(&mut self, item: &Waiting, retry_after: Duration, now: Instant) {
         let forecast = Forecast { step: item.step, ..item.forecast };
         self.decide(&item.request, Reason::TooLate.into(), None, forecast, now);
-        self.tell_refusal(item.key, Reason::TooLate, retry_after);
+        self.send_refusal(item.key, Reason::TooLate, retry_after);
     }
 
-    fn tell_refusal(&mut self, key: RequestKey, reason: Reason, retry_after: Duration) {
+    fn send_refusal(&mut self, key: RequestKey, reason: Reason, retry_after: Duration) {
         let refusal = ToInstance::Refuse {
             ticket: key.ticket,
             retry_after_ms: retry_after.as_millis() as u64,
@@ -436,38 +441,44 @@
         }));
     }
 
-    /// Takes a request off its engine.
-    fn land(&mut self, upstream: key::Upstream, key: RequestKey, result: RunResult, now: Instant) {
+    /// Ends a request that was granted to an engine.
+    fn end_in_flight(
+        &mut self,
+        upstream: key::Upstream,
+        key: RequestKey,
+        result: RunResult,
+        now: Instant,
+    ) {
         let Some(runner) = self.runners.get_mut(upstream) else { return };
-        let Some(flight) = runner.flights.remove(&key) else { return };
+        let Some(entry) = runner.in_flight.remove(&key) else { return };
         runner.health.end(result.into(), now);
-        let place = flight.adapter.as_ref().and_then(|adapter| runner.places.get_mut(adapter));
-        if let Some(place) = place {
-            place.users = place.users.saturating_sub(1);
+        let slot = entry.adapter.as_ref().and_then(|adapter| runner.adapter_slots.get_mut(adapter));
+        if let Some(slot) = slot {
+            slot.users = slot.users.saturating_sub(1);
         }
         if result == RunResult::Misdirected && runner.certainty == Certainty::Known {
-            // What the engine holds is not what was believed.
-            runner.certainty = Certainty::AskAt(now + orders::REPORT_DELAY);
-            if let Some(adapter) = &flight.adapter {
-                runner.places.remove(adapter);
+            // The engine does not hold what this scheduler has recorded for it.
+            runner.certainty = Certainty::ReportDue(now + orders::REPORT_DELAY);
+            if let Some(adapter) = &entry.adapter {
+                runner.adapter_slots.remove(adapter);
             }
         }
     }
 
-    fn expire_flights(&mut self, now: Instant) {
+    fn expire_in_flight(&mut self, now: Instant) {
         let due: Vec<(RequestKey, key::Upstream)> = self
             .granted
             .iter()
             .filter(|(key, upstream)| {
-                let flight =
-                    self.runners.get(**upstream).and_then(|runner| runner.flights.get(*key));
-                flight.is_none_or(|flight| flight.expires <= now)
+                let entry =
+                    self.runners.get(**upstream).and_then(|runner| runner.in_flight.get(*key));
+                entry.is_none_or(|entry| entry.expires <= now)
             })
             .map(|(key, upstream)| (*key, *upstream))
             .collect();
         for (key, upstream) in due {
             self.granted.remove(&key);
-            self.land(upstream, key, RunResult::Abandoned, now);
+            self.end_in_flight(upstream, key, RunResult::Abandoned, now);
         }
     }
 }
--- a/crates/orioleroute/src/scheduler/order.rs
+++ b/crates/orioleroute/src/scheduler/order.rs
@@ -1,4 +1,4 @@
-//! Orders to model engines, and what engines report.
+//! Orders to model engines and the reports of engines.
 
 use crate::ingress::upstream::{Model, Revision};
 use crate::prelude::*;
@@ -12,66 +12,66 @@
     pub model: Arc<str>,
     /// What to do.
     pub action: Action,
-    /// The number of orders that the engine must have accepted before, so that an order that is
-    /// carried out late cannot follow a newer one.
+    /// The number of orders that the engine must have accepted before, so that a delayed order cannot
+    /// take effect after a newer one.
     pub expected_orders: Option<u64>,
-    /// The fencing token of the scheduler that gives the order.
+    /// The fencing token of the scheduler that issues the order.
     pub fencing: u64,
 }
 
-/// What an order asks for.
+/// The action that an order requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Loads the base model.
     LoadModel,
-    /// Loads an adapter, or replaces it by another version.
+    /// Loads an adapter, or replaces it with another version.
     LoadAdapter {
         /// The adapter.
         adapter: Arc<str>,
         /// The version, or `None` for the newest.
         version: Option<u64>,
     },
-    /// Drops an adapter.
+    /// Unloads an adapter.
     UnloadAdapter {
         /// The adapter.
         adapter: Arc<str>,
     },
 }
 
-/// How an order ended.
+/// The outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum Outcome {
-    /// What it asks for is so already, or was done at once.
+    /// The requested state was already reached, or was reached at once.
     Holds,
-    /// The engine is carrying it out.
+    /// The engine is executing the order.
     Accepted,
-    /// Another order is under way, or the engine has accepted orders that were not expected.
+    /// Another order is in progress, or the number of accepted orders was not the expected one.
     Conflict,
     /// The engine has seen a higher fencing token.
     Fenced,
-    /// The engine does not take it, or is another one.
+    /// The engine rejected the order, or the address belongs to another engine.
     Refused,
-    /// No connection came about, so the order was not given.
+    /// No connection could be made, so the order was not sent.
     Unsent,
-    /// No answer came; the order may be carried out at any later time.
+    /// No answer arrived; the order may still take effect at any later time.
     Unanswered,
 }
 
-/// An engine's report, as of some hundred milliseconds ago.
+/// An engine's report, which is a few hundred milliseconds old.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// Whether an order on a base model is under way.
+    /// Whether an order for a base model is in progress.
     pub is_busy: bool,
-    /// The orders accepted since the start.
+    /// The number of orders accepted since the engine started.
     pub orders: u64,
-    /// The engine's start, in milliseconds since the Unix epoch.
+    /// The engine's start time, in milliseconds since the Unix epoch.
     pub started_ms: Option<u64>,
-    /// The requests that run.
+    /// The number of running requests.
     pub active: usize,
-    /// The requests that wait.
+    /// The number of requests queued at the engine.
     pub queued: usize,
-    /// The tokens of cache that cannot be given up.
+    /// The cache that cannot be evicted, in tokens.
     pub cache_used: u64,
     /// The base models with their adapters.
     pub models: Vec<Model>,
--- a/crates/orioleroute/src/scheduler/orders.rs
+++ b/crates/orioleroute/src/scheduler/orders.rs
@@ -1,22 +1,23 @@
-//! What the scheduler orders its engines to do, and what becomes of each order.
+//! The orders that the scheduler issues to its engines, and the handling of their outcomes.
 
 use super::order::{Action, Order, Outcome};
 use super::placement::{self, ColdLoads};
-use super::runner::{Base, Certainty, Place, PlaceState, Runner};
+use super::runner::{AdapterSlot, BaseModel, Certainty, Runner, SlotState};
 use super::{Output, Request, Scheduler, queue};
 use crate::prelude::*;
 
-/// How long after a doubtful order a report is asked for: reports are some hundred milliseconds old.
+/// How long after an uncertain order a report is requested: reports are a few hundred milliseconds
+/// old.
 pub(super) const REPORT_DELAY: Duration = Duration::from_millis(350);
 
-/// The time between looks whether a load has ended that was expected to.
+/// Interval between checks of an adapter load that was expected to have ended.
 const LOAD_CHECK_INTERVAL: Duration = Duration::from_millis(15);
 
-/// The time between looks whether a base model is there.
+/// Interval between checks of a base model load.
 const MODEL_CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
 impl Scheduler {
-    /// Learns from the end of a fetch how many adapters may be on their way.
+    /// Adjusts the limit on concurrent fetches when a fetch has ended.
     pub(super) fn observe_fetch(
         &mut self,
         key: key::Upstream,
@@ -25,73 +26,74 @@
         now: Instant,
     ) {
         let Action::LoadAdapter { adapter, .. } = &order.action else { return };
-        let place = self.runners[key].places.get(adapter);
-        if let (Outcome::Holds, Some(place)) = (outcome, place)
-            && let PlaceState::Loading { is_cold: true, is_accepted: true, since, .. } = place.state
+        let slot = self.runners[key].adapter_slots.get(adapter);
+        if let (Outcome::Holds, Some(slot)) = (outcome, slot)
+            && let SlotState::Loading { is_cold: true, is_accepted: true, since, .. } = slot.state
         {
-            let under_way = self.cold_loads(now).under_way;
-            self.fetches.observe(now.since(since), under_way, now);
+            let in_progress = self.cold_loads(now).in_progress;
+            self.fetches.observe(now.since(since), in_progress, now);
         }
     }
 
     pub(super) fn cold_loads(&self, now: Instant) -> ColdLoads {
         let (limit, time) = (self.fetches.limit(), self.fetches.time(now));
-        let mut cold = ColdLoads { under_way: 0, waiting: 0, limit, time };
-        // What a silent engine was to fetch need not be on its way.
-        let answering = self.runners.values().filter(|runner| !runner.is_silent);
-        for place in answering.flat_map(|runner| runner.places.values()) {
-            match place.state {
-                PlaceState::Loading { is_cold: true, .. } => cold.under_way += 1,
-                PlaceState::Reserved { is_cold: true } => cold.waiting += 1,
+        let mut cold = ColdLoads { in_progress: 0, waiting: 0, limit, time };
+        // The fetches of an unresponsive engine may not be in progress.
+        let answering = self.runners.values().filter(|runner| !runner.is_unresponsive);
+        for slot in answering.flat_map(|runner| runner.adapter_slots.values()) {
+            match slot.state {
+                SlotState::Loading { is_cold: true, .. } => cold.in_progress += 1,
+                SlotState::Reserved { is_cold: true } => cold.waiting += 1,
                 _ => {}
             }
         }
         cold
     }
 
-    /// Promises a place to the request's adapter.
+    /// Reserves an adapter slot for the request's adapter.
     pub(super) fn reserve(&mut self, key: key::Upstream, request: &Request, now: Instant) {
         let Some(adapter) = request.adapter.clone() else { return };
         let runner = &mut self.runners[key];
-        if runner.places.remove(&adapter).is_some() {
+        if runner.adapter_slots.remove(&adapter).is_some() {
             runner.outdated.push(adapter.clone());
         }
         let is_cold = !runner.is_warm(&adapter);
-        let place = Place::new(request.version, PlaceState::Reserved { is_cold }, now);
-        runner.places.insert(adapter, place);
+        let slot = AdapterSlot::new(request.version, SlotState::Reserved { is_cold }, now);
+        runner.adapter_slots.insert(adapter, slot);
     }
 
-    /// Gives the next order that an engine is to have, if it can take one now.
-    pub(super) fn give_orders(&mut self, key: key::Upstream, now: Instant) {
+    /// Issues the next order to an engine, if there is one and the engine can take it now.
+    pub(super) fn issue_next_order(&mut self, key: key::Upstream, now: Instant) {
         let runner = &self.runners[key];
         let Some(model) = runner.model().cloned() else { return };
         if runner.certainty != Certainty::Known {
             return;
         }
         if let Some(adapter) = runner.next_unload() {
-            return self.order(key, model, Action::UnloadAdapter { adapter });
+            return self.issue_order(key, model, Action::UnloadAdapter { adapter });
         }
         let cold = self.cold_loads(now);
         let Some((adapter, is_cold)) = self.next_load(key, cold, now) else { return };
         let capacity = self.engine(&runner.service).map_or(0, |engine| engine.adapter_places);
         let runner = &mut self.runners[key];
-        if runner.places_taken() >= capacity {
+        if runner.adapter_slots_used() >= capacity {
             let Some((victim, _)) = runner.victim(now) else { return };
-            if let Some(place) = runner.places.get_mut(&victim) {
-                place.state = PlaceState::Unloading;
+            if let Some(slot) = runner.adapter_slots.get_mut(&victim) {
+                slot.state = SlotState::Unloading;
             }
-            return self.order(key, model, Action::UnloadAdapter { adapter: victim });
+            return self.issue_order(key, model, Action::UnloadAdapter { adapter: victim });
         }
         let time = if is_cold { placement::COLD_LOAD } else { placement::WARM_LOAD };
-        let Some(place) = runner.places.get_mut(&adapter) else { return };
-        place.state =
-            PlaceState::Loading { check_at: now + time, is_cold, is_accepted: false, since: now };
-        let version = place.version;
-        self.order(key, model, Action::LoadAdapter { adapter, version });
+        let Some(slot) = runner.adapter_slots.get_mut(&adapter) else { return };
+        slot.state =
+            SlotState::Loading { check_at: now + time, is_cold, is_accepted: false, since: now };
+        let version = slot.version;
+        self.issue_order(key, model, Action::LoadAdapter { adapter, version });
     }
 
-    /// Returns the reserved adapter that an engine is to load next: the one with the most urgent
-    /// request, and none from the weight store while as many come from there as do at full speed.
+    /// Returns the adapter that an engine is to load next, and whether it comes from the weight store:
+    /// the reserved one with the most urgent request, those with a copy at the engine first, and none
+    /// from the weight store while as many loads are in progress as run at full speed.
     pub(super) fn next_load(
         &self,
         key: key::Upstream,
@@ -99,11 +101,11 @@
         now: Instant,
     ) -> Option<(Arc<str>, bool)> {
         let reserved =
-            self.runners[key].places.iter().filter_map(|(adapter, place)| match place.state {
-                PlaceState::Reserved { is_cold } => Some((adapter, is_cold)),
+            self.runners[key].adapter_slots.iter().filter_map(|(adapter, slot)| match slot.state {
+                SlotState::Reserved { is_cold } => Some((adapter, is_cold)),
                 _ => None,
             });
-        let may_load = reserved.filter(|(_, is_cold)| !is_cold || cold.under_way < cold.limit);
+        let may_load = reserved.filter(|(_, is_cold)| !is_cold || cold.in_progress < cold.limit);
         let urgency = |adapter: &Arc<str>| {
             let waiting = self.waiting.iter().filter(|waiting| {
                 waiting.assigned == Some(key) && waiting.request.adapter.as_ref() == Some(adapter)
@@ -115,10 +117,10 @@
         Some((next.0.clone(), next.1))
     }
 
-    pub(super) fn order(&mut self, key: key::Upstream, model: Arc<str>, action: Action) {
+    pub(super) fn issue_order(&mut self, key: key::Upstream, model: Arc<str>, action: Action) {
         let fencing = self.fencing;
         let runner = &mut self.runners[key];
-        runner.certainty = Certainty::Ordering;
+        runner.certainty = Certainty::OrderPending;
         let order = Order {
             upstream: runner.id.clone(),
             model,
@@ -129,15 +131,15 @@
         self.outputs.push(Output::Order(runner.address, order));
     }
 
-    /// Loads the base model on an engine that has none, one engine at a time: loads that run beside
-    /// each other are slower in proportion.
+    /// Loads the base model on an engine that has none, one engine at a time, because concurrent loads
+    /// are slower in proportion to their number.
     pub(super) fn load_missing_model(&mut self, now: Instant) {
-        let is_loading = |runner: &Runner| matches!(runner.base, Base::Loading { .. });
+        let is_loading = |runner: &Runner| matches!(runner.base_model, BaseModel::Loading { .. });
         if self.runners.values().any(is_loading) {
             return;
         }
         let empty = self.runners.iter().find(|(_, runner)| {
-            runner.base == Base::Absent
+            runner.base_model == BaseModel::Absent
                 && runner.certainty == Certainty::Known
                 && !runner.is_draining
                 && !runner.health.is_ejected(now)
@@ -149,46 +151,47 @@
         };
         let (model, time) = (model.name.clone(), model.load_time);
         let check_at = now + time;
-        let base = Base::Loading { model: model.clone(), check_at, is_accepted: false };
-        self.runners[key].base = base;
-        self.order(key, model, Action::LoadModel);
+        let base = BaseModel::Loading { model: model.clone(), check_at, is_accepted: false };
+        self.runners[key].base_model = base;
+        self.issue_order(key, model, Action::LoadModel);
     }
 
-    pub(super) fn look_after(&mut self, key: key::Upstream, now: Instant) {
+    pub(super) fn check_engine(&mut self, key: key::Upstream, now: Instant) {
         let runner = &mut self.runners[key];
         match runner.certainty {
-            Certainty::AskAt(at) if at <= now => {
-                runner.certainty = Certainty::Asking;
+            Certainty::ReportDue(at) if at <= now => {
+                runner.certainty = Certainty::ReportPending;
                 let output = Output::Report(runner.address, runner.id.clone());
                 self.outputs.push(output);
                 return;
             }
             Certainty::Known => {}
-            Certainty::AskAt(_) | Certainty::Asking | Certainty::Ordering => return,
+            Certainty::ReportDue(_) | Certainty::ReportPending | Certainty::OrderPending => return,
         }
-        if let Base::Loading { model, check_at, .. } = &runner.base
+        if let BaseModel::Loading { model, check_at, .. } = &runner.base_model
             && *check_at <= now
         {
             let model = model.clone();
-            return self.order(key, model, Action::LoadModel);
+            return self.issue_order(key, model, Action::LoadModel);
         }
-        let due = runner.places.iter().find_map(|(adapter, place)| match place.state {
-            PlaceState::Loading { check_at, .. } if check_at <= now => {
-                Some((adapter.clone(), place.version))
+        let due = runner.adapter_slots.iter().find_map(|(adapter, slot)| match slot.state {
+            SlotState::Loading { check_at, .. } if check_at <= now => {
+                Some((adapter.clone(), slot.version))
             }
             _ => None,
         });
         if let (Some((adapter, version)), Some(model)) = (due, runner.model().cloned()) {
-            self.order(key, model, Action::LoadAdapter { adapter, version });
+            self.issue_order(key, model, Action::LoadAdapter { adapter, version });
         }
     }
 
-    /// Frees requests that wait for a load that is no more.
-    pub(super) fn release_lost(&mut self, key: key::Upstream) {
+    /// Unassigns requests that wait at the engine for an adapter that no longer has a slot there.
+    pub(super) fn unassign_lost(&mut self, key: key::Upstream) {
         let runner = &self.runners[key];
         for waiting in &mut self.waiting {
             let adapter = waiting.request.adapter.as_ref();
-            let is_there = adapter.is_some_and(|adapter| runner.places.contains_key(adapter));
+            let is_there =
+                adapter.is_some_and(|adapter| runner.adapter_slots.contains_key(adapter));
             if waiting.assigned == Some(key) && !is_there {
                 waiting.assigned = None;
             }
@@ -196,27 +199,32 @@
     }
 }
 
-pub(super) fn model_ordered(runner: &mut Runner, model: &Arc<str>, outcome: Outcome, now: Instant) {
+pub(super) fn handle_model_load_outcome(
+    runner: &mut Runner,
+    model: &Arc<str>,
+    outcome: Outcome,
+    now: Instant,
+) {
     match outcome {
-        Outcome::Holds => runner.base = Base::Present(model.clone()),
+        Outcome::Holds => runner.base_model = BaseModel::Present(model.clone()),
         Outcome::Accepted => {
-            if let Base::Loading { check_at, is_accepted, .. } = &mut runner.base {
+            if let BaseModel::Loading { check_at, is_accepted, .. } = &mut runner.base_model {
                 runner.orders += u64::from(!std::mem::replace(is_accepted, true));
                 *check_at = (*check_at).max(now + MODEL_CHECK_INTERVAL);
             }
         }
         Outcome::Conflict => {
-            if let Base::Loading { check_at, .. } = &mut runner.base {
+            if let BaseModel::Loading { check_at, .. } = &mut runner.base_model {
                 *check_at = now + MODEL_CHECK_INTERVAL;
             }
-            runner.certainty = Certainty::AskAt(now + MODEL_CHECK_INTERVAL);
+            runner.certainty = Certainty::ReportDue(now + MODEL_CHECK_INTERVAL);
         }
         Outcome::Refused | Outcome::Unsent => {
-            runner.base = Base::Absent;
-            runner.certainty = Certainty::AskAt(now + REPORT_DELAY);
+            runner.base_model = BaseModel::Absent;
+            runner.certainty = Certainty::ReportDue(now + REPORT_DELAY);
         }
         Outcome::Unanswered => {
-            if let Base::Loading { check_at, .. } = &mut runner.base {
+            if let BaseModel::Loading { check_at, .. } = &mut runner.base_model {
                 *check_at = now + MODEL_CHECK_INTERVAL;
             }
         }
@@ -224,11 +232,11 @@
     }
 }
 
-/// Takes the answer to the load of an adapter.
+/// Handles the outcome of an adapter load.
 ///
-/// An order without an answer is given again at once: both expect the same number of earlier orders,
-/// so the engine carries out one of them, and a conflict tells that it was the first.
-pub(super) fn adapter_ordered(
+/// An order without an answer is issued again at once. Both expect the same number of earlier orders,
+/// so the engine applies only one of them, and a conflict shows that it was the first.
+pub(super) fn handle_adapter_load_outcome(
     runner: &mut Runner,
     adapter: &Arc<str>,
     outcome: Outcome,
@@ -236,14 +244,14 @@
 ) {
     match outcome {
         Outcome::Holds => {
-            runner.remember(adapter);
-            if let Some(place) = runner.places.get_mut(adapter) {
-                place.state = PlaceState::Present;
+            runner.record_recent(adapter);
+            if let Some(slot) = runner.adapter_slots.get_mut(adapter) {
+                slot.state = SlotState::Present;
             }
         }
         Outcome::Accepted => {
-            if let Some(place) = runner.places.get_mut(adapter)
-                && let PlaceState::Loading { check_at, is_accepted, since, .. } = &mut place.state
+            if let Some(slot) = runner.adapter_slots.get_mut(adapter)
+                && let SlotState::Loading { check_at, is_accepted, since, .. } = &mut slot.state
             {
                 if !std::mem::replace(is_accepted, true) {
                     runner.orders += 1;
@@ -253,20 +261,20 @@
             }
         }
         Outcome::Conflict => {
-            if let Some(place) = runner.places.get_mut(adapter)
-                && let PlaceState::Loading { check_at, .. } = &mut place.state
+            if let Some(slot) = runner.adapter_slots.get_mut(adapter)
+                && let SlotState::Loading { check_at, .. } = &mut slot.state
             {
                 *check_at = now + LOAD_CHECK_INTERVAL;
             }
-            runner.certainty = Certainty::AskAt(now + REPORT_DELAY);
+            runner.certainty = Certainty::ReportDue(now + REPORT_DELAY);
         }
         Outcome::Refused | Outcome::Unsent => {
-            runner.places.remove(adapter);
-            runner.certainty = Certainty::AskAt(now + REPORT_DELAY);
+            runner.adapter_slots.remove(adapter);
+            runner.certainty = Certainty::ReportDue(now + REPORT_DELAY);
         }
         Outcome::Unanswered => {
-            if let Some(place) = runner.places.get_mut(adapter)
-                && let PlaceState::Loading { check_at, .. } = &mut place.state
+            if let Some(slot) = runner.adapter_slots.get_mut(adapter)
+                && let SlotState::Loading { check_at, .. } = &mut slot.state
             {
                 *check_at = now;
             }
@@ -275,7 +283,7 @@
     }
 }
 
-pub(super) fn unload_ordered(
+pub(super) fn handle_unload_outcome(
     runner: &mut Runner,
     adapter: &Arc<str>,
     outcome: Outcome,
@@ -289,19 +297,19 @@
                     runner.outdated.remove(index);
                 }
                 None => {
-                    runner.places.remove(adapter);
+                    runner.adapter_slots.remove(adapter);
                 }
             }
         }
         Outcome::Accepted => {
-            // It waits for requests of which this scheduler does not know.
+            // The engine waits for requests that are unknown to this scheduler.
             runner.orders += 1;
-            runner.certainty = Certainty::AskAt(now + REPORT_DELAY);
+            runner.certainty = Certainty::ReportDue(now + REPORT_DELAY);
         }
         Outcome::Conflict | Outcome::Refused | Outcome::Unsent => {
-            runner.certainty = Certainty::AskAt(now + REPORT_DELAY);
+            runner.certainty = Certainty::ReportDue(now + REPORT_DELAY);
         }
-        // It is given again, like a load.
+        // An unanswered order is issued again, as for a load.
         Outcome::Unanswered | Outcome::Fenced => {}
     }
 }
--- a/crates/orioleroute/src/scheduler/output.rs
+++ b/crates/orioleroute/src/scheduler/output.rs
@@ -1,40 +1,43 @@
-//! What a scheduler wants done.
+//! The outputs of a scheduler.
 
 use super::message::ToInstance;
 use super::order::Order;
 use super::request::Client;
 use crate::prelude::*;
 
-/// What the scheduler wants done.
+/// An action for the caller of the scheduler.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Tell an instance.
+    /// Send a message to an instance.
     Tell(Client, ToInstance),
-    /// Give an order to an engine; the answer comes back with [`Scheduler::ordered`](super::Scheduler::ordered).
+    /// Issue an order to an engine. The outcome is passed to
+    /// [`Scheduler::ordered`](super::Scheduler::ordered).
     Order(std::net::SocketAddr, Order),
-    /// Ask an engine for its report; it comes back with [`Scheduler::reported`](super::Scheduler::reported).
+    /// Request a report from an engine. It is passed to
+    /// [`Scheduler::reported`](super::Scheduler::reported).
     Report(std::net::SocketAddr, Arc<str>),
-    /// Another scheduler has given orders: this one must stop.
+    /// Another scheduler has issued orders, so this one must stop.
     Fenced,
-    /// A request was decided on.
+    /// Log the decision on a request.
     Decided(Decision),
 }
 
-/// What was decided on a request, and by what, for the log.
+/// The decision on a request and the estimates behind it, for the log.
 #[derive(Clone, Debug)]
 pub struct Decision {
     /// The client's id of the attempt.
     pub attempt: Option<Arc<str>>,
-    /// What its adapter needed when it was taken, or why it was refused.
+    /// What the adapter needed when the request was admitted, or why the request was refused.
     pub reason: &'static str,
-    /// What was still to happen before it could run when it was refused, or `held` if it runs.
+    /// What still had to happen before the request could run: as of the admission if it was granted,
+    /// as of the refusal otherwise, and `held` if it was refused without a choice of engine.
     pub step: &'static str,
-    /// The engine, if one was granted.
+    /// The engine, if the request was granted.
     pub upstream: Option<Arc<str>>,
-    /// How long it waited.
+    /// How long the request waited.
     pub waited: Duration,
-    /// How long it was expected to take to the first event when it was taken or refused.
+    /// The expected time to the first event, as of the admission or refusal.
     pub expected: Duration,
-    /// How long the engines would read what was to go before it.
+    /// The expected queueing delay behind the prompts ahead of the request.
     pub queue: Duration,
 }
--- a/crates/orioleroute/src/scheduler/placement.rs
+++ b/crates/orioleroute/src/scheduler/placement.rs
@@ -1,84 +1,86 @@
-//! Which engine runs a request, and which adapter makes way for the request's own.
+//! Chooses the engine for a request and, if needed, the adapter to evict for it.
 //!
-//! Load pattern: thousands of adapters of very unequal popularity on engines with few places. An
-//! adapter that is on its engine costs nothing, one that the engine held recently a tenth of a load
-//! from the weight store. The choice weighs the time to the first event at each engine, so popular
-//! adapters get further copies only once their engines' queues cost more than a load does.
+//! Load pattern: thousands of adapters of very uneven popularity on engines with few adapter slots.
+//! Using an adapter that the engine holds costs nothing, reloading one that it held recently costs a
+//! tenth of a load from the weight store. Engines are compared by the expected time to the first
+//! event, so a popular adapter is replicated only once the queues of its engines cost more than a
+//! load.
 
 use super::Request;
-use super::runner::{Base, Certainty, Place, PlaceState, Runner};
+use super::runner::{AdapterSlot, BaseModel, Certainty, Runner, SlotState};
 use crate::ingress::configuration::Engine;
 use crate::prelude::*;
 
-/// How long an adapter loads of which the engine has a copy.
+/// Load time of an adapter that the engine has kept a copy of.
 pub const WARM_LOAD: Duration = Duration::from_millis(25);
 
-/// How long an adapter loads from the weight store.
+/// Load time of an adapter that comes from the weight store, at full speed.
 pub const COLD_LOAD: Duration = Duration::from_millis(250);
 
-/// Adapters that an engine loads at once.
-const LOADS_PER_ENGINE: usize = 4;
+/// Maximum number of concurrent adapter loads per engine.
+const MAX_LOADS_PER_ENGINE: usize = 4;
 
-/// The advantage that a copy elsewhere must have over waiting for an engine that has the adapter:
-/// a load pushes another adapter out, which somebody will miss.
-const LOAD_RELUCTANCE: Duration = Duration::from_millis(40);
+/// How much sooner a request must start at an engine that has to load the adapter, compared with
+/// waiting for one that holds it. A load evicts another adapter that later requests may need.
+const LOAD_PENALTY: Duration = Duration::from_millis(40);
 
-/// The advantage that a copy from the weight store must have, which also takes a share of what the
-/// store gives to all engines.
-const FETCH_RELUCTANCE: Duration = Duration::from_millis(150);
+/// The same for a load from the weight store, which also takes bandwidth from the loads of all other
+/// engines.
+const FETCH_PENALTY: Duration = Duration::from_millis(150);
 
-/// What pushing out an adapter costs for each request that it had in the last ten seconds.
+/// Cost of evicting an adapter, per request for it in the last ten seconds.
 const EVICTION_COST_PER_REQUEST: Duration = Duration::from_millis(15);
 
-/// How long a place is likely to take to become free when all are in use.
-const NO_PLACE_WAIT: Duration = Duration::from_millis(400);
+/// Expected wait for a free adapter slot when all are in use.
+const NO_SLOT_WAIT: Duration = Duration::from_millis(400);
 
-/// The queue of prompts at an engine up to which it gets further requests. Short, so that the order
-/// of waiting stays the scheduler's; long enough that the engine always has the next prompt.
-pub const ENGINE_QUEUE: Duration = Duration::from_millis(120);
+/// Prefill backlog up to which an engine is granted further requests. It is short, so that requests
+/// queue at the scheduler, which orders them; and long enough that the engine always has a next
+/// prompt.
+pub const MAX_ENGINE_BACKLOG: Duration = Duration::from_millis(120);
 
-/// The part of an engine's cache that may be promised to requests.
-const CACHE_SHARE: f64 = 0.9;
+/// Share of an engine's cache that may be committed to requests.
+const MAX_CACHE_SHARE: f64 = 0.9;
 
-/// The distance of the engines, which are all in the scheduler's zone, for [`crate::ingress::health`].
+/// Network distance for [`crate::ingress::health`]; all engines are in the scheduler's own zone.
 const NO_DISTANCE: Duration = Duration::ZERO;
 
 /// What has to happen before a request can run at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing: it can be sent.
+    /// Nothing; the request can be granted now.
     Use,
-    /// The adapter is on its way.
+    /// The engine is loading the adapter or is about to.
     Await,
     /// The adapter has to be loaded.
     Load {
-        /// Whether it comes from the weight store.
+        /// Whether the adapter comes from the weight store.
         is_cold: bool,
     },
-    /// Something at the engine stands in the way for now.
+    /// An obstacle at the engine has to clear first.
     Queue(Obstacle),
 }
 
-/// What stands in the way of a request at an engine.
+/// Why an engine cannot run a request yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum Obstacle {
-    /// It has prompts to read.
+    /// Its prefill backlog is too long.
     Prompts,
-    /// It has no slot or cache left.
+    /// It has no free request slot or not enough free cache.
     Full,
-    /// All its places for adapters are in use.
+    /// All its adapter slots are in use.
     Places,
-    /// It loads as many adapters at once as it may.
+    /// It is loading the maximum number of adapters.
     Loads,
-    /// What it holds is not known for certain, or it does not answer orders.
+    /// Its state is uncertain, or it does not answer orders.
     Unsettled,
-    /// It holds an older version of the adapter, which is in use.
+    /// It holds an older version of the adapter that is still in use.
     OldVersion,
 }
 
 impl Step {
-    /// Returns whether the adapter has to come from the weight store.
+    /// Returns whether the adapter has to be loaded from the weight store.
     pub fn is_fetch(self) -> bool {
         self == Self::Load { is_cold: true }
     }
@@ -102,20 +104,20 @@
     pub runner: key::Upstream,
     /// What has to happen first.
     pub step: Step,
-    /// The expected time to the first event.
+    /// The expected time until the first event of the response.
     pub start: Duration,
 }
 
-/// What bounds the loads of adapters from the weight store.
+/// The state of the limit on concurrent loads from the weight store.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdLoads {
-    /// Those that are on their way now.
-    pub under_way: usize,
-    /// Those that wait for their turn.
+    /// Number of loads in progress.
+    pub in_progress: usize,
+    /// Number of loads that wait for others to finish.
     pub waiting: usize,
-    /// Those that may be on their way before each takes longer.
+    /// Number of concurrent loads above which each becomes slower.
     pub limit: usize,
-    /// How long each takes.
+    /// Expected duration of one load.
     pub time: Duration,
 }
 
@@ -129,18 +131,19 @@
 ) -> Option<Candidate> {
     let mut best: Option<(Duration, Candidate)> = None;
     for (key, runner) in runners {
-        let Some((weight, candidate)) = weigh(key, runner, engine, request, cold, now) else {
+        let Some((cost, candidate)) = evaluate(key, runner, engine, request, cold, now) else {
             continue;
         };
-        if best.as_ref().is_none_or(|(least, _)| weight < *least) {
-            best = Some((weight, candidate));
+        if best.as_ref().is_none_or(|(lowest, _)| cost < *lowest) {
+            best = Some((cost, candidate));
         }
     }
     best.map(|(_, candidate)| candidate)
 }
 
-/// Returns the weight of an engine and what it would take, or `None` if it cannot run the request.
-fn weigh(
+/// Returns the cost of running the request at an engine and the candidate, or `None` if the engine
+/// cannot run the request.
+fn evaluate(
     key: key::Upstream,
     runner: &Runner,
     engine: &Engine,
@@ -150,33 +153,36 @@
 ) -> Option<(Duration, Candidate)> {
     let is_usable = !runner.is_draining
         && runner.service == request.service
-        && runner.base == Base::Present(request.model.clone())
+        && runner.base_model == BaseModel::Present(request.model.clone())
         && !runner.health.is_ejected(now)
         && !request.excluded.contains(&runner.id);
     if !is_usable {
         return None;
     }
     let backlog = runner.backlog();
-    let (mut step, load, reluctance) = adapter_step(runner, engine, request, cold, now);
-    let own = runner.reading_time(u64::from(runner.uncached_tokens(request)));
-    let start = runner.queue().max(load) + own;
-    // A load that ends no sooner than the engine could take the prompt need not wait for that.
-    let is_ahead = matches!(step, Step::Load { .. }) && backlog <= ENGINE_QUEUE + load;
-    if backlog > ENGINE_QUEUE && !is_ahead {
+    let (mut step, load, load_penalty) = adapter_step(runner, engine, request, cold, now);
+    let own_prefill = runner.prefill_time(u64::from(runner.uncached_tokens(request)));
+    let start = runner.queue().max(load) + own_prefill;
+    // A load can start before the backlog is short enough for a grant if it ends no sooner than that.
+    let is_ahead = matches!(step, Step::Load { .. }) && backlog <= MAX_ENGINE_BACKLOG + load;
+    if backlog > MAX_ENGINE_BACKLOG && !is_ahead {
         step = Step::Queue(Obstacle::Prompts);
-    } else if !has_room(runner, engine, request) {
+    } else if !has_capacity(runner, engine, request) {
         step = Step::Queue(Obstacle::Full);
     }
-    // Prompts whose adapters arrive together are read one after another.
-    let crowding = match step {
-        Step::Load { .. } => runner.reading_time(runner.queued_tokens).min(load),
+    // Prompts whose adapters finish loading at the same time are prefilled one after another.
+    let contention = match step {
+        Step::Load { .. } => runner.prefill_time(runner.queued_tokens).min(load),
         Step::Use | Step::Await | Step::Queue(_) => Duration::ZERO,
     };
-    let penalty = Duration::from_secs_f64(runner.health.cost(runner.slots, NO_DISTANCE));
-    Some((start + reluctance + crowding + penalty, Candidate { runner: key, step, start }))
+    let health_penalty = Duration::from_secs_f64(runner.health.cost(runner.slots, NO_DISTANCE));
+    Some((
+        start + load_penalty + contention + health_penalty,
+        Candidate { runner: key, step, start },
+    ))
 }
 
-/// Returns what the request's adapter needs, how long it takes, and what it costs others.
+/// Returns the step that the request's adapter needs, its duration, and its cost to other requests.
 fn adapter_step(
     runner: &Runner,
     engine: &Engine,
@@ -187,74 +193,74 @@
     let Some(adapter) = &request.adapter else {
         return (Step::Use, Duration::ZERO, Duration::ZERO);
     };
-    match runner.places.get(adapter) {
-        Some(place) if is_current(place, request) => match place.state {
-            PlaceState::Present => return (Step::Use, Duration::ZERO, Duration::ZERO),
-            PlaceState::Loading { .. } | PlaceState::Reserved { .. } if runner.is_silent => {
-                return (Step::Queue(Obstacle::Unsettled), NO_PLACE_WAIT, LOAD_RELUCTANCE);
+    match runner.adapter_slots.get(adapter) {
+        Some(slot) if is_current(slot, request) => match slot.state {
+            SlotState::Present => return (Step::Use, Duration::ZERO, Duration::ZERO),
+            SlotState::Loading { .. } | SlotState::Reserved { .. } if runner.is_unresponsive => {
+                return (Step::Queue(Obstacle::Unsettled), NO_SLOT_WAIT, LOAD_PENALTY);
             }
-            PlaceState::Loading { check_at, .. } => {
+            SlotState::Loading { check_at, .. } => {
                 return (Step::Await, check_at.since(now), Duration::ZERO);
             }
-            PlaceState::Reserved { .. } => {
+            SlotState::Reserved { .. } => {
                 return (Step::Await, load_time(runner, adapter, cold), Duration::ZERO);
             }
-            PlaceState::Unloading => {
-                return (Step::Queue(Obstacle::Places), NO_PLACE_WAIT, LOAD_RELUCTANCE);
+            SlotState::Unloading => {
+                return (Step::Queue(Obstacle::Places), NO_SLOT_WAIT, LOAD_PENALTY);
             }
         },
-        // An older version of it has to go first.
-        Some(place) if place.users > 0 || place.state != PlaceState::Present => {
-            return (Step::Queue(Obstacle::OldVersion), NO_PLACE_WAIT, LOAD_RELUCTANCE);
+        // The older version has to be unloaded first, which is not possible yet.
+        Some(slot) if slot.users > 0 || slot.state != SlotState::Present => {
+            return (Step::Queue(Obstacle::OldVersion), NO_SLOT_WAIT, LOAD_PENALTY);
         }
         Some(_) | None => {}
     }
     let time = load_time(runner, adapter, cold);
-    let is_known = matches!(runner.certainty, Certainty::Known | Certainty::Ordering);
-    let is_blocked = !is_known || runner.is_silent;
-    let queued = |obstacle| (Step::Queue(obstacle), time + NO_PLACE_WAIT, LOAD_RELUCTANCE);
+    let is_known = matches!(runner.certainty, Certainty::Known | Certainty::OrderPending);
+    let is_blocked = !is_known || runner.is_unresponsive;
+    let queued = |obstacle| (Step::Queue(obstacle), time + NO_SLOT_WAIT, LOAD_PENALTY);
     if is_blocked {
         return queued(Obstacle::Unsettled);
     }
-    if runner.loading() >= LOADS_PER_ENGINE {
+    if runner.loading() >= MAX_LOADS_PER_ENGINE {
         return queued(Obstacle::Loads);
     }
     let is_cold = !runner.is_warm(adapter);
-    let copying = if is_cold { FETCH_RELUCTANCE } else { LOAD_RELUCTANCE };
-    let reluctance = match runner.places_free(engine.adapter_places) {
+    let base_penalty = if is_cold { FETCH_PENALTY } else { LOAD_PENALTY };
+    let load_penalty = match runner.adapter_slots_free(engine.adapter_places) {
         Some(0) => match runner.victim(now) {
-            Some((_, popularity)) => copying + EVICTION_COST_PER_REQUEST.mul_f64(popularity),
+            Some((_, popularity)) => base_penalty + EVICTION_COST_PER_REQUEST.mul_f64(popularity),
             None => return queued(Obstacle::Places),
         },
-        Some(_) => copying,
+        Some(_) => base_penalty,
         None => return queued(Obstacle::Places),
     };
-    (Step::Load { is_cold }, time, reluctance)
+    (Step::Load { is_cold }, time, load_penalty)
 }
 
-/// Returns whether an adapter's version will do for a request.
-pub fn is_current(place: &Place, request: &Request) -> bool {
-    match (request.version, place.version) {
+/// Returns whether the adapter version in a slot is new enough for a request.
+pub fn is_current(slot: &AdapterSlot, request: &Request) -> bool {
+    match (request.version, slot.version) {
         (Some(wanted), Some(held)) => held >= wanted,
         (Some(_), None) => false,
         (None, _) => true,
     }
 }
 
-/// Returns how long an engine takes to load an adapter.
+/// Returns the expected time for an engine to load an adapter.
 pub fn load_time(runner: &Runner, adapter: &str, cold: ColdLoads) -> Duration {
     if runner.is_warm(adapter) {
         return WARM_LOAD;
     }
-    let crowd = (cold.under_way + cold.waiting + 1) as f64 / cold.limit.max(1) as f64;
-    cold.time.mul_f64(crowd.max(1.0))
+    let contention = (cold.in_progress + cold.waiting + 1) as f64 / cold.limit.max(1) as f64;
+    cold.time.mul_f64(contention.max(1.0))
 }
 
-/// Returns whether the engine has a slot and cache for the request.
-fn has_room(runner: &Runner, engine: &Engine, request: &Request) -> bool {
+/// Returns whether the engine has a free request slot and enough cache for the request.
+fn has_capacity(runner: &Runner, engine: &Engine, request: &Request) -> bool {
     let tokens = u64::from(request.prompt_tokens) + u64::from(request.output_tokens);
     let promised = (runner.tokens_in_flight() + tokens) as f64;
-    let is_first = runner.flights.is_empty();
-    runner.flights.len() < engine.slots
-        && (is_first || promised <= engine.cache_tokens as f64 * CACHE_SHARE)
+    let is_first = runner.in_flight.is_empty();
+    runner.in_flight.len() < engine.slots
+        && (is_first || promised <= engine.cache_tokens as f64 * MAX_CACHE_SHARE)
 }
--- a/crates/orioleroute/src/scheduler/queue.rs
+++ b/crates/orioleroute/src/scheduler/queue.rs
@@ -1,14 +1,14 @@
-//! In which order requests wait for a place.
+//! The order in which waiting requests are granted.
 //!
-//! Load pattern: more work than the engines can read, for seconds, in classes of different urgency.
-//! Requests that can still be on time go first, by rank and then by the time at which they become
-//! late; those that are late already take what is left. Without the split, a burst makes every
-//! request behind it late, one after another.
+//! Load pattern: several seconds of more work than the engines can process, with priorities.
+//! Requests that can still be on time go first, by priority and then by objective; late ones get the
+//! remaining capacity. Without this split, a burst makes every request behind it late, one after
+//! another.
 
 use super::Request;
 use crate::prelude::*;
 
-/// The place of a request among those that wait; lower goes first.
+/// The position of a request in the queue; lower goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
     is_late: bool,
@@ -17,7 +17,7 @@
 }
 
 impl Rank {
-    /// Returns the place of `request` at the time `now`.
+    /// Returns the rank of `request` at the time `now`.
     pub fn of(request: &Request, now: Instant) -> Self {
         let is_late = request.objective <= now;
         let due = if is_late { request.deadline } else { request.objective };
--- a/crates/orioleroute/src/scheduler/request.rs
+++ b/crates/orioleroute/src/scheduler/request.rs
@@ -2,57 +2,57 @@
 
 use crate::prelude::*;
 
-/// The instance that asked, as its connection.
+/// The connection of an instance that sends requests to the scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Client(pub u64);
 
-/// A request of an instance.
+/// Identifies a request of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestKey {
-    /// Who asked.
+    /// The connection of the instance.
     pub client: Client,
-    /// Its number for the request.
+    /// The number that the instance has given to the request.
     pub ticket: u64,
 }
 
-/// A request that needs a place.
+/// A request that needs a grant for a model engine.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its service.
+    /// The service.
     pub service: Arc<str>,
     /// The base model.
     pub model: Arc<str>,
-    /// The adapter.
+    /// The adapter, if the request uses one.
     pub adapter: Option<Arc<str>>,
-    /// The oldest version of the adapter that will do.
+    /// The oldest acceptable version of the adapter.
     pub version: Option<u64>,
-    /// The tokens of the prompt.
+    /// The length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// The most tokens of the output.
+    /// The maximum length of the output in tokens.
     pub output_tokens: u32,
-    /// The parts of the prompt as an engine caches them.
+    /// The parts of the prompt, as engines cache them.
     pub parts: Vec<CachedPart>,
-    /// The rank; 0 is served first.
+    /// The priority; 0 is the highest.
     pub priority: u8,
-    /// When the client leaves.
+    /// When the client stops waiting.
     pub deadline: Instant,
-    /// When the answer is late.
+    /// When the response is late.
     pub objective: Instant,
     /// Engines that have failed the request.
     pub excluded: Vec<Arc<str>>,
-    /// Whether the client was refused before and has come back.
+    /// Whether this is a retry of a client that was refused before.
     pub is_return: bool,
     /// The client's id of the attempt.
     pub attempt: Option<Arc<str>>,
-    /// When it was asked for.
+    /// When the request arrived at the scheduler.
     pub arrived: Instant,
 }
 
-/// A part of a prompt, read by a certain adapter.
+/// A part of a prompt, as cached for one adapter.
 #[derive(Clone, Copy, Debug)]
 pub struct CachedPart {
-    /// Identifies the part and the adapter.
+    /// A digest of the part and the adapter.
     pub key: u64,
-    /// Its tokens.
+    /// The length of the part in tokens.
     pub tokens: u32,
 }
--- a/crates/orioleroute/src/scheduler/runner.rs
+++ b/crates/orioleroute/src/scheduler/runner.rs
@@ -1,4 +1,4 @@
-//! One model engine as its scheduler knows it.
+//! The scheduler's record of one model engine.
 
 use std::net::SocketAddr;
 
@@ -8,108 +8,109 @@
 use crate::ingress::upstream::{Description, State};
 use crate::prelude::*;
 
-/// The prompt tokens that an engine reads in a millisecond, until it has shown its own rate: about
-/// what the engines of today's deployments reach beside other requests.
-const INITIAL_RATE: f64 = 18.0;
+/// Initial prefill rate of an engine in tokens per millisecond, until its own rate has been observed:
+/// about what the engines of today's deployments reach while they run other requests.
+const INITIAL_PREFILL_RATE: f64 = 18.0;
 
-/// The bounds of a learnt rate, in tokens a millisecond.
-const RATE_BOUNDS: (f64, f64) = (2.0, 40.0);
+/// Bounds of the observed prefill rate, in tokens per millisecond.
+const PREFILL_RATE_BOUNDS: (f64, f64) = (2.0, 40.0);
 
-/// The weight of one observation in an engine's rate.
-const RATE_SMOOTHING: f64 = 0.1;
+/// Weight of one observation in the moving average of an engine's prefill rate.
+const PREFILL_RATE_SMOOTHING: f64 = 0.1;
 
-/// The adapters that an engine keeps copies of beside those that it holds.
-const RECENT_ADAPTERS: usize = 36;
+/// Number of adapters of which an engine keeps a copy in addition to those that it holds.
+const MAX_RECENT_ADAPTERS: usize = 36;
 
-/// The prompt parts that an engine is assumed to remember.
-const REMEMBERED_PARTS: usize = 512;
+/// Number of prompt parts that an engine is assumed to keep in its cache.
+const MAX_CACHED_PARTS: usize = 512;
 
-/// The time in which an adapter's popularity falls to a third.
+/// Time in which an adapter's popularity decays to about a third.
 const POPULARITY_DECAY: Duration = Duration::from_secs(10);
 
-/// One model engine as its scheduler knows it.
+/// The scheduler's record of one model engine.
 #[derive(Clone, Debug)]
 pub struct Runner {
-    /// Its id.
+    /// The engine's id.
     pub id: Arc<str>,
-    /// Its service.
+    /// The service that the engine belongs to.
     pub service: Arc<str>,
-    /// Where it takes requests and orders.
+    /// The address for requests and orders.
     pub address: SocketAddr,
-    /// Its start.
+    /// The engine's start time, in milliseconds since the Unix epoch.
     pub started_ms: u64,
-    /// Whether it leaves.
+    /// Whether the engine is draining.
     pub is_draining: bool,
-    /// The requests that it runs at once.
+    /// The number of requests that it runs concurrently.
     pub slots: usize,
-    /// Its base model.
-    pub base: Base,
-    /// The adapters that it holds or is ordered to hold.
-    pub places: Map<Arc<str>, Place>,
-    /// The requests granted to it that have not ended.
-    pub flights: Map<RequestKey, Flight>,
-    /// How it has answered.
+    /// The state of its base model.
+    pub base_model: BaseModel,
+    /// The adapters that it holds, loads or unloads, or that have a slot reserved.
+    pub adapter_slots: Map<Arc<str>, AdapterSlot>,
+    /// The granted requests that have not ended.
+    pub in_flight: Map<RequestKey, InFlightRequest>,
+    /// The health derived from the outcomes of requests and orders.
     pub health: Health,
-    /// The orders that it has accepted, as far as known.
+    /// The number of orders that it is known to have accepted.
     pub orders: u64,
-    /// Whether the state is known well enough to give orders.
+    /// Whether the state is known well enough to issue orders.
     pub certainty: Certainty,
-    /// Whether its last order had no answer.
-    pub is_silent: bool,
-    /// The prompt tokens of the requests that wait for it at the scheduler.
+    /// Whether the last order could not be sent or was not answered.
+    pub is_unresponsive: bool,
+    /// The prompt tokens of the requests that wait for this engine at the scheduler.
     pub queued_tokens: u64,
-    /// Adapters of which an older version has to be dropped before the newer one is loaded.
+    /// Adapters of which an older version has to be unloaded before the newer one is loaded.
     pub outdated: Vec<Arc<str>>,
     recent: Vec<Arc<str>>,
     parts: Map<u64, Instant>,
-    rate: f64,
+    prefill_rate: f64,
     busy_since: Instant,
 }
 
 /// The base model of an engine.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Base {
-    /// It holds none.
+pub enum BaseModel {
+    /// The engine holds no base model.
     Absent,
-    /// It is loading one.
+    /// The engine is loading a base model.
     Loading {
-        /// The model.
+        /// The base model.
         model: Arc<str>,
-        /// When to look whether it is there.
+        /// When to check whether it has been loaded.
         check_at: Instant,
-        /// Whether the engine has accepted the order; asking again does not count as another one.
+        /// Whether the engine has accepted the order. Repeating it does not count as another order.
         is_accepted: bool,
     },
-    /// It holds this one.
+    /// The engine holds this base model.
     Present(Arc<str>),
 }
 
-/// Whether an engine's state is known well enough to give orders.
+/// Whether an engine's state is known well enough to issue orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Certainty {
-    /// All orders so far have had an answer.
+    /// All orders so far have been answered.
     Known,
-    /// An order is on its way.
-    Ordering,
-    /// A report that is asked for at this time will tell.
-    AskAt(Instant),
-    /// A report was asked for.
-    Asking,
+    /// An order has been issued and not answered yet.
+    OrderPending,
+    /// The state is uncertain; a report is to be requested at this time.
+    ReportDue(Instant),
+    /// A report has been requested.
+    ReportPending,
 }
 
-/// An adapter that an engine holds or is ordered to hold; it takes one of the engine's places.
+/// An adapter slot of an engine, and the adapter that occupies it or has it reserved.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct AdapterSlot {
     /// The adapter's version, if known.
     pub version: Option<u64>,
-    /// Whether it can be used.
-    pub state: PlaceState,
-    /// The requests that use it or wait for it.
+    /// The state of the adapter.
+    pub state: SlotState,
+    /// The number of requests that use the adapter or wait for it.
     pub users: u32,
     popularity: Popularity,
 }
 
-/// How much an adapter is asked for: about its requests in the last ten seconds.
+/// The popularity of an adapter: an exponentially decaying count, which is about the number of
+/// requests in the last ten seconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Popularity {
     value: f64,
@@ -122,58 +123,58 @@
         self.value * (-now.since(self.since).as_secs_f64() / POPULARITY_DECAY.as_secs_f64()).exp()
     }
 
-    /// Counts a request.
-    pub fn touch(&mut self, now: Instant) {
+    /// Counts a request at the time `now`.
+    pub fn record_request(&mut self, now: Instant) {
         self.value = self.at(now) + 1.0;
         self.since = now;
     }
 }
 
-/// Whether an adapter can be used.
+/// The state of the adapter in a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PlaceState {
-    /// It can be used.
+pub enum SlotState {
+    /// The adapter is loaded and can be used.
     Present,
-    /// It is on its way, and likely there at this time.
+    /// The adapter is being loaded, or its load has been ordered.
     Loading {
-        /// When to look whether it is there.
+        /// When to check whether it has been loaded.
         check_at: Instant,
-        /// Whether it comes from the weight store.
+        /// Whether the adapter comes from the weight store.
         is_cold: bool,
-        /// Whether the engine has accepted the order; asking again does not count as another one.
+        /// Whether the engine has accepted the order. Repeating it does not count as another order.
         is_accepted: bool,
-        /// When it was ordered or, if it is, accepted.
+        /// When the load was accepted or, before that, ordered.
         since: Instant,
     },
-    /// It is to be loaded once the engine takes the order and has a place for it.
+    /// The adapter will be loaded once the engine can take an order and has a free slot.
     Reserved {
-        /// Whether it comes from the weight store.
+        /// Whether the adapter comes from the weight store.
         is_cold: bool,
     },
-    /// It is being dropped.
+    /// The adapter is being unloaded.
     Unloading,
 }
 
 /// A request that was granted to an engine.
 #[derive(Clone, Debug)]
-pub struct Flight {
-    /// The adapter.
+pub struct InFlightRequest {
+    /// The adapter that the request uses.
     pub adapter: Option<Arc<str>>,
-    /// The prompt tokens that the engine has to read.
+    /// The prompt tokens that the engine has to prefill.
     pub prefill_tokens: u32,
-    /// All tokens of the prompt and output.
+    /// The tokens of the prompt plus the maximum of the output.
     pub tokens: u64,
-    /// Whether the first event has come.
+    /// Whether the first event of the response has arrived.
     pub is_started: bool,
-    /// When it was granted.
+    /// When the request was granted.
     pub granted: Instant,
-    /// When it is given up if nothing is heard of it.
+    /// When the request counts as ended if its end is not reported.
     pub expires: Instant,
 }
 
-impl Place {
-    /// Returns a place for an adapter that is used now.
-    pub fn new(version: Option<u64>, state: PlaceState, now: Instant) -> Self {
+impl AdapterSlot {
+    /// Returns a slot for an adapter without users.
+    pub fn new(version: Option<u64>, state: SlotState, now: Instant) -> Self {
         Self { version, state, users: 0, popularity: Popularity { value: 0.0, since: now } }
     }
 
@@ -183,13 +184,13 @@
     }
 
     /// Counts a request for the adapter.
-    pub fn touch(&mut self, now: Instant) {
-        self.popularity.touch(now);
+    pub fn record_request(&mut self, now: Instant) {
+        self.popularity.record_request(now);
     }
 }
 
 impl Runner {
-    /// Returns an engine of which only its description is known.
+    /// Returns the record of an engine of which only the description is known.
     pub fn new(description: &Description, now: Instant) -> Self {
         let mut runner = Self {
             id: description.id.clone(),
@@ -198,102 +199,106 @@
             started_ms: description.started_ms,
             is_draining: description.state == State::Draining,
             slots: description.slots,
-            base: Base::Absent,
-            places: Map::default(),
-            flights: Map::default(),
+            base_model: BaseModel::Absent,
+            adapter_slots: Map::default(),
+            in_flight: Map::default(),
             health: Health::default(),
             orders: description.orders,
-            certainty: Certainty::AskAt(now),
-            is_silent: false,
+            certainty: Certainty::ReportDue(now),
+            is_unresponsive: false,
             queued_tokens: 0,
             outdated: Vec::new(),
             recent: Vec::new(),
             parts: Map::default(),
-            rate: INITIAL_RATE,
+            prefill_rate: INITIAL_PREFILL_RATE,
             busy_since: now,
         };
         runner.adopt_models(&description.models, now);
         runner
     }
 
-    /// Takes over what a report says, for an engine that has no order under way.
+    /// Replaces the state by that of a report, for an engine that has no order pending.
     pub fn adopt_report(&mut self, report: &Report, now: Instant) {
         self.orders = report.orders;
         self.outdated.clear();
-        let base = self.base.clone();
+        let base = self.base_model.clone();
         self.adopt_models(&report.models, now);
-        if report.is_busy && self.base == Base::Absent && matches!(base, Base::Loading { .. }) {
-            self.base = base;
+        if report.is_busy
+            && self.base_model == BaseModel::Absent
+            && matches!(base, BaseModel::Loading { .. })
+        {
+            self.base_model = base;
         }
         for revision in &report.pending {
             let state =
-                PlaceState::Loading { check_at: now, is_cold: true, is_accepted: true, since: now };
-            let place = self.places.entry(revision.name.clone());
-            place.or_insert_with(|| Place::new(Some(revision.version), state, now));
+                SlotState::Loading { check_at: now, is_cold: true, is_accepted: true, since: now };
+            let slot = self.adapter_slots.entry(revision.name.clone());
+            slot.or_insert_with(|| AdapterSlot::new(Some(revision.version), state, now));
         }
     }
 
-    /// Returns the base model that it holds.
+    /// Returns the base model that the engine holds.
     pub fn model(&self) -> Option<&Arc<str>> {
-        match &self.base {
-            Base::Present(model) => Some(model),
-            Base::Absent | Base::Loading { .. } => None,
+        match &self.base_model {
+            BaseModel::Present(model) => Some(model),
+            BaseModel::Absent | BaseModel::Loading { .. } => None,
         }
     }
 
-    /// Returns whether it kept a copy of an adapter, which loads ten times as fast.
+    /// Returns whether the engine has kept a copy of an adapter, which loads ten times as fast.
     pub fn is_warm(&self, adapter: &str) -> bool {
         self.recent.iter().any(|name| **name == *adapter)
     }
 
-    /// Takes note that the engine has a copy of an adapter.
-    pub fn remember(&mut self, adapter: &Arc<str>) {
-        remember(&mut self.recent, adapter.clone(), RECENT_ADAPTERS);
+    /// Records that the engine has a copy of an adapter.
+    pub fn record_recent(&mut self, adapter: &Arc<str>) {
+        record_recent(&mut self.recent, adapter.clone(), MAX_RECENT_ADAPTERS);
     }
 
-    /// Returns how many adapters are on their way or will be.
+    /// Returns the number of adapters that are being loaded or have a slot reserved.
     pub fn loading(&self) -> usize {
-        let is_coming = |place: &&Place| {
-            matches!(place.state, PlaceState::Loading { .. } | PlaceState::Reserved { .. })
+        let is_pending = |slot: &&AdapterSlot| {
+            matches!(slot.state, SlotState::Loading { .. } | SlotState::Reserved { .. })
         };
-        self.places.values().filter(is_coming).count()
+        self.adapter_slots.values().filter(is_pending).count()
     }
 
-    /// Returns how many places are taken at the engine itself.
-    pub fn places_taken(&self) -> usize {
-        let is_there = |place: &&Place| !matches!(place.state, PlaceState::Reserved { .. });
-        self.places.values().filter(is_there).count() + self.outdated.len()
+    /// Returns the number of adapter slots in use at the engine, reservations excluded.
+    pub fn adapter_slots_used(&self) -> usize {
+        let is_on_engine = |slot: &&AdapterSlot| !matches!(slot.state, SlotState::Reserved { .. });
+        self.adapter_slots.values().filter(is_on_engine).count() + self.outdated.len()
     }
 
-    /// Returns how many of its places are free beside those that were promised, or `None` if even
-    /// dropping all idle adapters would not free another one.
-    pub fn places_free(&self, capacity: usize) -> Option<usize> {
-        let is_reserved = |place: &&Place| matches!(place.state, PlaceState::Reserved { .. });
-        let reserved = self.places.values().filter(is_reserved).count();
-        let is_idle = |place: &&Place| place.state == PlaceState::Present && place.users == 0;
-        let idle = self.places.values().filter(is_idle).count();
-        let taken = self.places_taken();
+    /// Returns the number of adapter slots that are neither used nor reserved, or `None` if even
+    /// unloading all idle adapters would not free another one.
+    pub fn adapter_slots_free(&self, capacity: usize) -> Option<usize> {
+        let is_reserved = |slot: &&AdapterSlot| matches!(slot.state, SlotState::Reserved { .. });
+        let reserved = self.adapter_slots.values().filter(is_reserved).count();
+        let is_idle = |slot: &&AdapterSlot| slot.state == SlotState::Present && slot.users == 0;
+        let idle = self.adapter_slots.values().filter(is_idle).count();
+        let taken = self.adapter_slots_used();
         let free = capacity.saturating_sub(taken);
         (free + idle > reserved).then(|| free.saturating_sub(reserved))
     }
 
-    /// Returns the next adapter to drop.
+    /// Returns the next adapter to unload.
     pub fn next_unload(&self) -> Option<Arc<str>> {
-        let unloading = self.places.iter().find(|(_, place)| place.state == PlaceState::Unloading);
+        let unloading =
+            self.adapter_slots.iter().find(|(_, slot)| slot.state == SlotState::Unloading);
         self.outdated.first().or(unloading.map(|(adapter, _)| adapter)).cloned()
     }
 
-    /// Returns the idle adapter that is missed least when it is dropped, with its popularity.
+    /// Returns the least popular idle adapter, which is the one to evict, with its popularity.
     pub fn victim(&self, now: Instant) -> Option<(Arc<str>, f64)> {
         let idle = self
-            .places
+            .adapter_slots
             .iter()
-            .filter(|(_, place)| place.users == 0 && place.state == PlaceState::Present);
-        let popularities = idle.map(|(name, place)| (name.clone(), place.popularity(now)));
+            .filter(|(_, slot)| slot.users == 0 && slot.state == SlotState::Present);
+        let popularities = idle.map(|(name, slot)| (name.clone(), slot.popularity(now)));
         popularities.min_by(|(_, one), (_, other)| one.total_cmp(other))
     }
 
-    /// Returns the prompt tokens of a request that the engine has to read, given what it keeps.
+    /// Returns the prompt tokens of a request that the engine has to prefill, given its cache.
     pub fn uncached_tokens(&self, request: &super::Request) -> u32 {
         let mut cached = 0;
         for part in &request.parts {
@@ -305,71 +310,71 @@
         request.prompt_tokens.saturating_sub(cached)
     }
 
-    /// Returns how long the engine will read prompts before it reads another one's.
+    /// Returns the time until the engine has prefilled all prompts granted to it.
     pub fn backlog(&self) -> Duration {
-        let waiting = self.flights.values().filter(|flight| !flight.is_started);
-        let tokens: u64 = waiting.map(|flight| u64::from(flight.prefill_tokens)).sum();
-        self.reading_time(tokens)
+        let waiting = self.in_flight.values().filter(|entry| !entry.is_started);
+        let tokens: u64 = waiting.map(|entry| u64::from(entry.prefill_tokens)).sum();
+        self.prefill_time(tokens)
     }
 
-    /// Returns how long the engine will read prompts before it reads one that has yet to be queued.
+    /// Returns the time until the engine has prefilled all prompts granted to it or queued for it.
     pub fn queue(&self) -> Duration {
-        self.backlog() + self.reading_time(self.queued_tokens)
+        self.backlog() + self.prefill_time(self.queued_tokens)
     }
 
-    /// Returns how long the engine reads this many prompt tokens.
-    pub fn reading_time(&self, tokens: u64) -> Duration {
-        Duration::from_secs_f64(tokens as f64 / self.rate / 1_000.0)
+    /// Returns the time that the engine takes to prefill this many prompt tokens.
+    pub fn prefill_time(&self, tokens: u64) -> Duration {
+        Duration::from_secs_f64(tokens as f64 / self.prefill_rate / 1_000.0)
     }
 
-    /// Returns the tokens of all requests that it runs.
+    /// Returns the tokens of all requests in flight.
     pub fn tokens_in_flight(&self) -> u64 {
-        self.flights.values().map(|flight| flight.tokens).sum()
+        self.in_flight.values().map(|entry| entry.tokens).sum()
     }
 
-    /// Returns the prompt tokens that it reads in a millisecond.
-    pub fn rate(&self) -> f64 {
-        self.rate
+    /// Returns the prefill rate in tokens per millisecond.
+    pub fn prefill_rate(&self) -> f64 {
+        self.prefill_rate
     }
 
-    /// Takes note of a granted request.
+    /// Records a granted request.
     pub fn begin(&mut self, key: RequestKey, request: &super::Request, now: Instant) {
-        if self.flights.values().all(|flight| flight.is_started) {
+        if self.in_flight.values().all(|entry| entry.is_started) {
             self.busy_since = now;
         }
-        let flight = Flight {
+        let entry = InFlightRequest {
             adapter: request.adapter.clone(),
             prefill_tokens: self.uncached_tokens(request),
             tokens: u64::from(request.prompt_tokens) + u64::from(request.output_tokens),
             is_started: false,
             granted: now,
-            expires: request.deadline + FLIGHT_SLACK,
+            expires: request.deadline + IN_FLIGHT_GRACE,
         };
         self.parts.extend(request.parts.iter().map(|part| (part.key, now)));
-        self.forget_old_parts();
-        self.flights.insert(key, flight);
+        self.evict_old_parts();
+        self.in_flight.insert(key, entry);
         self.health.begin();
     }
 
-    /// Takes note of a request's first event, and learns from it how fast the engine reads.
+    /// Records the first event of a request's response, and updates the engine's prefill rate.
     pub fn start(&mut self, key: RequestKey, now: Instant) {
-        let Some(flight) = self.flights.get_mut(&key).filter(|flight| !flight.is_started) else {
+        let Some(entry) = self.in_flight.get_mut(&key).filter(|entry| !entry.is_started) else {
             return;
         };
-        flight.is_started = true;
-        let span = now.since(self.busy_since.max(flight.granted)).as_secs_f64() * 1_000.0;
-        let tokens = f64::from(flight.prefill_tokens);
+        entry.is_started = true;
+        let span = now.since(self.busy_since.max(entry.granted)).as_secs_f64() * 1_000.0;
+        let tokens = f64::from(entry.prefill_tokens);
         self.busy_since = now;
         if tokens >= MIN_SAMPLE_TOKENS && span > 0.0 {
-            let (least, most) = RATE_BOUNDS;
+            let (least, most) = PREFILL_RATE_BOUNDS;
             let observed = (tokens / span).clamp(least, most);
-            self.rate += RATE_SMOOTHING * (observed - self.rate);
+            self.prefill_rate += PREFILL_RATE_SMOOTHING * (observed - self.prefill_rate);
         }
     }
 
-    /// Drops the half of the prompt parts that was used longest ago once there are too many.
-    fn forget_old_parts(&mut self) {
-        if self.parts.len() <= REMEMBERED_PARTS {
+    /// Evicts the least recently used half of the prompt parts once there are too many.
+    fn evict_old_parts(&mut self) {
+        if self.parts.len() <= MAX_CACHED_PARTS {
             return;
         }
         let mut times: Vec<Instant> = self.parts.values().copied().collect();
@@ -379,33 +384,34 @@
     }
 
     fn adopt_models(&mut self, models: &[crate::ingress::upstream::Model], now: Instant) {
-        self.base = match models.first() {
-            Some(model) => Base::Present(model.name.clone()),
-            None => Base::Absent,
+        self.base_model = match models.first() {
+            Some(model) => BaseModel::Present(model.name.clone()),
+            None => BaseModel::Absent,
         };
-        let mut before = std::mem::take(&mut self.places);
+        let mut previous = std::mem::take(&mut self.adapter_slots);
         for revision in models.iter().flat_map(|model| &model.adapters) {
-            let mut place = before
-                .remove(&revision.name)
-                .unwrap_or_else(|| Place::new(Some(revision.version), PlaceState::Present, now));
-            place.version = Some(revision.version);
-            place.state = PlaceState::Present;
-            self.places.insert(revision.name.clone(), place);
-            remember(&mut self.recent, revision.name.clone(), RECENT_ADAPTERS);
+            let mut slot = previous.remove(&revision.name).unwrap_or_else(|| {
+                AdapterSlot::new(Some(revision.version), SlotState::Present, now)
+            });
+            slot.version = Some(revision.version);
+            slot.state = SlotState::Present;
+            self.adapter_slots.insert(revision.name.clone(), slot);
+            record_recent(&mut self.recent, revision.name.clone(), MAX_RECENT_ADAPTERS);
         }
-        before.retain(|_, place| matches!(place.state, PlaceState::Reserved { .. }));
-        self.places.extend(before);
+        previous.retain(|_, slot| matches!(slot.state, SlotState::Reserved { .. }));
+        self.adapter_slots.extend(previous);
     }
 }
 
-/// How long after its deadline a granted request counts as running if nothing is heard of it.
-const FLIGHT_SLACK: Duration = Duration::from_millis(500);
+/// How long after its deadline a granted request counts as running if its end is not reported.
+const IN_FLIGHT_GRACE: Duration = Duration::from_millis(500);
 
-/// The shortest prompt that tells how fast an engine reads; shorter ones measure its steps.
+/// Length of the shortest prompt, in tokens, from which the prefill rate is measured. Shorter ones
+/// measure the duration of the engine's steps.
 const MIN_SAMPLE_TOKENS: f64 = 500.0;
 
-/// Moves `item` to the end of a list of the `most` latest items.
-fn remember<T: PartialEq>(items: &mut Vec<T>, item: T, most: usize) {
+/// Moves or appends `item` to the end of a list of the `most` most recent items.
+fn record_recent<T: PartialEq>(items: &mut Vec<T>, item: T, most: usize) {
     match items.iter().position(|known| *known == item) {
         Some(index) => {
             items.remove(index);
--- a/crates/orioleroute/src/time.rs
+++ b/crates/orioleroute/src/time.rs
@@ -1,17 +1,17 @@
-//! Points in time of one process's monotonic clock.
+//! Points in time on the monotonic clock of a process.
 
 use std::ops::{Add, AddAssign, Sub};
 use std::time::Duration;
 
 /// A point in time, in microseconds since the process started.
 ///
-/// The core never reads a clock: the caller passes the time in with each event, which makes every
-/// run repeatable. Instants of two processes cannot be compared.
+/// The core never reads a clock: the caller passes the time with each event, which makes every run
+/// reproducible. Instants of different processes cannot be compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Instant(u64);
 
 impl Instant {
-    /// The earliest point in time.
+    /// The start of the process, which is the earliest point in time.
     pub const ZERO: Self = Self(0);
 
     /// Returns the point in time `micros` microseconds after the start.
@@ -29,7 +29,7 @@
         self.0
     }
 
-    /// Returns the time since `earlier`, or zero if that lies in the future.
+    /// Returns the time since `earlier`, or zero if `earlier` is later than this instant.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
--- a/crates/orioleroute/tests/ingress.rs
+++ b/crates/orioleroute/tests/ingress.rs
@@ -1,10 +1,11 @@
-//! What an instance knows to answer requests: upstreams through outages, other instances, health.
+//! The state that an instance needs to route requests: upstreams during outages of their list, other
+//! instances, health and deadlines.
 
 use std::net::SocketAddr;
 
 use orioleroute::ingress::deadline::Longest;
 use orioleroute::ingress::health::{Health, Outcome};
-use orioleroute::ingress::registry::{Change, RETURN_GRACE, Registry};
+use orioleroute::ingress::registry::{Change, RECOVERY_GRACE, Registry};
 use orioleroute::ingress::roster::{Heartbeat, Member, Roster};
 use orioleroute::ingress::upstream::{Description, State};
 use orioleroute::prelude::*;
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn an_entry_that_is_removed_while_the_list_answers_is_gone_at_once() {
+fn an_entry_removed_while_the_list_is_available_is_dropped_at_once() {
     let mut registry = registry(&["a", "b"]);
 
     registry.apply([Change::Removed("a".into())], Instant::from_millis(10_000));
@@ -63,43 +64,43 @@
 }
 
 #[test]
-fn an_upstream_that_leaves_gets_no_requests() {
+fn a_draining_upstream_gets_no_requests() {
     let mut registry = registry(&["a", "b"]);
 
-    let leaving = upstream("a", State::Draining);
-    registry.apply([Change::Written(leaving)], Instant::from_millis(10_000));
+    let draining = upstream("a", State::Draining);
+    registry.apply([Change::Written(draining)], Instant::from_millis(10_000));
 
     assert_eq!(listed(&registry), ["b"]);
 }
 
 #[test]
-fn entries_that_lapsed_in_an_outage_are_kept_until_they_had_time_to_return() {
+fn entries_that_expired_in_an_outage_are_kept_for_the_recovery_grace() {
     let mut registry = registry(&["a", "b"]);
-    let back = Instant::from_millis(20_000);
+    let recovered = Instant::from_millis(20_000);
     registry.lose(Instant::from_millis(15_000));
 
-    registry.replace([upstream("b", State::Ready)], back);
+    registry.replace([upstream("b", State::Ready)], recovered);
     assert_eq!(listed(&registry), ["a", "b"]);
-    registry.apply([Change::Written(upstream("a", State::Ready))], back + RETURN_GRACE / 2);
-    registry.expire(back + RETURN_GRACE);
+    registry.apply([Change::Written(upstream("a", State::Ready))], recovered + RECOVERY_GRACE / 2);
+    registry.expire(recovered + RECOVERY_GRACE);
 
     assert_eq!(listed(&registry), ["a", "b"]);
 }
 
 #[test]
-fn an_entry_that_does_not_return_after_an_outage_is_gone() {
+fn an_entry_missing_after_the_recovery_grace_is_dropped() {
     let mut registry = registry(&["a", "b"]);
-    let back = Instant::from_millis(20_000);
+    let recovered = Instant::from_millis(20_000);
     registry.lose(Instant::from_millis(15_000));
-    registry.replace([upstream("b", State::Ready)], back);
+    registry.replace([upstream("b", State::Ready)], recovered);
 
-    registry.expire(back + RETURN_GRACE);
+    registry.expire(recovered + RECOVERY_GRACE);
 
     assert_eq!(listed(&registry), ["b"]);
 }
 
 #[test]
-fn while_the_list_is_away_nothing_expires() {
+fn nothing_expires_while_the_list_is_unavailable() {
     let mut registry = registry(&["a", "b"]);
     registry.lose(Instant::from_millis(15_000));
     registry.replace([upstream("b", State::Ready)], Instant::from_millis(16_000));
@@ -127,55 +128,55 @@
 
 #[rstest]
 #[case::stopping(false, 0)]
-#[case::silent(true, 2_000)]
-fn clients_are_not_sent_to_instances_that_stop_or_are_silent(
+#[case::unresponsive(true, 2_000)]
+fn clients_are_not_sent_to_instances_that_stop_or_are_unresponsive(
     #[case] is_serving: bool,
     #[case] silence_ms: u64,
 ) {
-    let heard = Instant::from_millis(1_000);
+    let last_heartbeat = Instant::from_millis(1_000);
     let mut roster = Roster::new(member("n1", "zurich"));
     roster.set_serving(true);
-    roster.admit(member("n2", "zurich"), heard);
-    roster.hear(&heartbeat("n2", is_serving), heard);
+    roster.admit(member("n2", "zurich"), last_heartbeat);
+    roster.hear(&heartbeat("n2", is_serving), last_heartbeat);
 
-    let addresses = roster.addresses("zurich", heard + Duration::from_millis(silence_ms));
+    let addresses = roster.addresses("zurich", last_heartbeat + Duration::from_millis(silence_ms));
 
     assert_eq!(addresses, [member("n1", "zurich").caller_address]);
 }
 
 #[test]
-fn instances_of_other_regions_are_heard_of_less_often_and_trusted_for_longer() {
-    let heard = Instant::from_millis(1_000);
+fn instances_of_other_regions_time_out_later() {
+    let last_heartbeat = Instant::from_millis(1_000);
     let mut roster = Roster::new(member("n1", "zurich"));
     for (name, region) in [("n2", "zurich"), ("n3", "geneva")] {
-        roster.admit(member(name, region), heard);
-        roster.hear(&heartbeat(name, true), heard);
+        roster.admit(member(name, region), last_heartbeat);
+        roster.hear(&heartbeat(name, true), last_heartbeat);
     }
 
-    let later = heard + Duration::from_millis(4_000);
+    let later = last_heartbeat + Duration::from_millis(4_000);
 
     assert!(!roster.is_alive("n2", later));
     assert!(roster.is_alive("n3", later));
 }
 
 #[test]
-fn an_upstream_that_fails_costs_more_than_one_in_another_region() {
+fn a_failing_upstream_costs_more_than_a_healthy_one_in_another_region() {
     let now = Instant::from_millis(1_000);
     let mut failing = Health::default();
-    let sound = Health::default();
+    let healthy = Health::default();
     for _ in 0..5 {
         failing.begin();
         failing.end(Outcome::Erred, now);
     }
 
     let near = failing.cost(6, Duration::ZERO);
-    let far = sound.cost(6, Duration::from_millis(30));
+    let far = healthy.cost(6, Duration::from_millis(30));
 
     assert!(near > far, "{near} {far}");
 }
 
 #[test]
-fn an_upstream_that_cannot_be_reached_is_left_alone_for_a_while() {
+fn an_unreachable_upstream_is_ejected_temporarily() {
     let now = Instant::from_millis(1_000);
     let mut health = Health::default();
     health.begin();
@@ -187,7 +188,7 @@
 }
 
 #[test]
-fn what_a_client_has_waited_shows_in_its_shorter_deadline() {
+fn a_shorter_deadline_shows_how_long_the_client_has_waited() {
     let mut longest = Longest::default();
     let now = Instant::from_millis(1_000);
     longest.elapsed(Duration::from_millis(4_000), now);
@@ -198,7 +199,7 @@
 }
 
 #[test]
-fn a_deadline_that_all_clients_shorten_is_soon_the_whole_one() {
+fn when_all_clients_shorten_their_deadline_the_old_one_is_forgotten() {
     let mut longest = Longest::default();
     longest.elapsed(Duration::from_millis(4_000), Instant::from_millis(0));
     for second in 1..=30 {
--- a/crates/orioleroute/tests/load.rs
+++ b/crates/orioleroute/tests/load.rs
@@ -1,17 +1,20 @@
-//! Loads replayed on the scheduler's decisions, the worst first: who is served in time, who is
-//! refused and when.
+//! Replays of request loads against the scheduler, the heaviest first: which requests are served on
+//! time, and which are refused and when.
 
 mod scheduling;
 
 use orioleroute::prelude::*;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use scheduling::{Arrival, FULL_SPEED, RATE, Setting, placement, replay, replay_with};
+use scheduling::{
+    Arrival, FULL_SPEED_FETCHES, PREFILL_RATE, ReplaySetup, placement, replay, replay_with,
+};
 
 const ENGINES: usize = 6;
 const SEED: u64 = 20_261_204;
 
-/// A load of so many requests a second for adapters `first..first + adapters` of Zipf popularity.
+/// A load of `per_s` requests per second for the adapters `first..first + adapters`, whose popularity
+/// follows a Zipf distribution.
 struct Load {
     from_ms: u64,
     to_ms: u64,
@@ -21,7 +24,7 @@
     priority: u8,
 }
 
-/// Returns the arrivals of several loads, each with exponential gaps.
+/// Returns the arrivals of several loads, each with exponentially distributed gaps.
 fn arrivals(loads: &[Load]) -> Vec<Arrival> {
     let mut random = StdRng::seed_from_u64(SEED);
     let mut all = Vec::new();
@@ -48,9 +51,9 @@
     all
 }
 
-/// Returns the requests a second that the engines can read.
+/// Returns the number of requests per second that the engines can prefill.
 fn capacity() -> f64 {
-    ENGINES as f64 * RATE * 1_000.0 / 2_000.0
+    ENGINES as f64 * PREFILL_RATE * 1_000.0 / 2_000.0
 }
 
 fn popular(per_s: f64, from_ms: u64, to_ms: u64, priority: u8) -> Load {
@@ -58,17 +61,17 @@
 }
 
 #[test]
-fn at_five_times_what_the_engines_read_they_still_serve_almost_that() {
+fn at_five_times_the_capacity_goodput_stays_near_its_peak() {
     let peak = replay(ENGINES, &arrivals(&[popular(capacity() * 0.9, 0, 10_000, 1)]));
 
     let overload = replay(ENGINES, &arrivals(&[popular(capacity() * 5.0, 0, 10_000, 1)]));
 
-    let (served, at_peak) = (overload.in_time as f64, peak.in_time as f64);
-    assert!(served >= 0.9 * at_peak, "{served} in time of {at_peak} at the peak: {overload:?}");
+    let (served, at_peak) = (overload.on_time as f64, peak.on_time as f64);
+    assert!(served >= 0.9 * at_peak, "{served} on time of {at_peak} at the peak: {overload:?}");
 }
 
 #[test]
-fn a_burst_is_refused_on_arrival_and_not_after_its_time() {
+fn a_burst_is_refused_on_arrival_and_not_after_a_wait() {
     let loads =
         [popular(capacity() * 0.5, 0, 8_000, 1), popular(capacity() * 2.0, 3_000, 5_000, 1)];
 
@@ -80,74 +83,79 @@
 }
 
 #[test]
-fn in_a_burst_the_more_urgent_are_served_first() {
+fn in_a_burst_requests_of_higher_priority_are_served_first() {
     let loads =
         [popular(capacity() * 0.6, 0, 8_000, 0), popular(capacity() * 1.5, 2_000, 6_000, 1)];
 
     let result = replay(ENGINES, &arrivals(&loads));
 
-    assert!(result.share(0) >= 0.95, "{result:?}");
-    assert!(result.share(0) >= result.share(1), "{result:?}");
+    assert!(result.on_time_share(0) >= 0.95, "{result:?}");
+    assert!(result.on_time_share(0) >= result.on_time_share(1), "{result:?}");
 }
 
 #[test]
-fn rare_adapters_that_are_all_asked_for_at_once_take_no_time_from_the_popular_ones() {
+fn a_surge_for_rare_adapters_does_not_delay_popular_ones() {
     let rare =
         Load { from_ms: 4_000, to_ms: 7_000, per_s: 40.0, first: 100, adapters: 500, priority: 1 };
     let quiet = replay(ENGINES, &arrivals(&[popular(20.0, 0, 9_000, 0)]));
 
     let result = replay(ENGINES, &arrivals(&[popular(20.0, 0, 9_000, 0), rare]));
 
-    assert!(result.share(0) >= quiet.share(0) - 0.1, "{quiet:?} {result:?}");
+    assert!(result.on_time_share(0) >= quiet.on_time_share(0) - 0.1, "{quiet:?} {result:?}");
 }
 
 #[test]
-fn at_the_start_of_a_day_nearly_all_that_the_weight_store_can_give_is_served() {
+fn cold_start_load_within_the_weight_store_bandwidth_is_served() {
     let load =
         Load { from_ms: 0, to_ms: 4_000, per_s: 60.0, first: 0, adapters: 3_000, priority: 1 };
 
     let result = replay(ENGINES, &arrivals(&[load]));
 
-    // Fewer new adapters are asked for than the thirty-two that come in a second at full speed.
-    assert!(result.in_time * 10 >= result.asked * 9, "{result:?}");
-    assert!(result.refused_later * 100 <= result.asked, "{result:?}");
+    // The load requests fewer new adapters than the 32 per second that are fetched at full speed.
+    assert!(result.on_time * 10 >= result.requests * 9, "{result:?}");
+    assert!(result.refused_later * 100 <= result.requests, "{result:?}");
 }
 
 #[test]
-fn popular_adapters_are_fetched_no_more_often_than_there_are_engines() {
+fn popular_adapters_are_fetched_at_most_once_per_engine() {
     let result = replay(ENGINES, &arrivals(&[popular(capacity() * 0.6, 0, 8_000, 1)]));
 
     assert!(result.fetches <= 20 * ENGINES, "{result:?}");
-    assert!(result.in_time * 10 >= result.asked * 9, "{result:?}");
+    assert!(result.on_time * 10 >= result.requests * 9, "{result:?}");
 }
 
 #[test]
-fn a_weight_store_that_gives_more_at_once_is_used_for_more() {
+fn the_fetch_limit_grows_with_the_weight_store_bandwidth() {
     let load =
         Load { from_ms: 0, to_ms: 3_000, per_s: 240.0, first: 0, adapters: 3_000, priority: 1 };
     let arrivals = arrivals(&[load]);
 
-    let usual = replay_with(&Setting::new(4 * ENGINES), &arrivals);
-    let full_speed = 3 * FULL_SPEED;
-    let larger = replay_with(&Setting { full_speed, ..Setting::new(4 * ENGINES) }, &arrivals);
+    let usual = replay_with(&ReplaySetup::new(4 * ENGINES), &arrivals);
+    let full_speed_fetches = 3 * FULL_SPEED_FETCHES;
+    let larger = replay_with(
+        &ReplaySetup { full_speed_fetches, ..ReplaySetup::new(4 * ENGINES) },
+        &arrivals,
+    );
 
     assert!(larger.fetches * 10 >= usual.fetches * 13, "{usual:?} {larger:?}");
-    assert!(larger.in_time > usual.in_time, "{usual:?} {larger:?}");
+    assert!(larger.on_time > usual.on_time, "{usual:?} {larger:?}");
 }
 
 #[test]
-fn engines_that_fall_silent_keep_nothing_of_the_weight_store_from_the_others() {
+fn unresponsive_engines_do_not_use_up_the_fetch_limit() {
     let load =
         Load { from_ms: 0, to_ms: 6_000, per_s: 40.0, first: 0, adapters: 3_000, priority: 1 };
     let arrivals = arrivals(&[load]);
-    let silent_from = Duration::from_millis(1_000);
-
-    let rest = replay(ENGINES, &arrivals);
-    let result =
-        replay_with(&Setting { silent: 3, silent_from, ..Setting::new(2 * ENGINES) }, &arrivals);
-
-    // Nine engines answer, and the six of the comparison fetch what the weight store gives.
-    assert!(result.fetches * 10 >= rest.fetches * 9, "{rest:?} {result:?}");
-    assert!(result.in_time * 10 >= rest.in_time * 9, "{rest:?} {result:?}");
-    assert!(result.refused_later * 100 <= result.asked, "{result:?}");
+    let unresponsive_from = Duration::from_millis(1_000);
+
+    let baseline = replay(ENGINES, &arrivals);
+    let result = replay_with(
+        &ReplaySetup { unresponsive: 3, unresponsive_from, ..ReplaySetup::new(2 * ENGINES) },
+        &arrivals,
+    );
+
+    // Nine engines still answer, and the six of the comparison already saturate the weight store.
+    assert!(result.fetches * 10 >= baseline.fetches * 9, "{baseline:?} {result:?}");
+    assert!(result.on_time * 10 >= baseline.on_time * 9, "{baseline:?} {result:?}");
+    assert!(result.refused_later * 100 <= result.requests, "{result:?}");
 }
--- a/crates/orioleroute/tests/scheduler.rs
+++ b/crates/orioleroute/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! Single decisions of the scheduler: places, orders and what becomes of lost ones.
+//! Single decisions of the scheduler: grants, orders, and the handling of lost orders.
 
 mod scheduling;
 
@@ -8,7 +8,8 @@
 use orioleroute::scheduler::{Output, RequestKey, Scheduler};
 use rstest::rstest;
 use scheduling::{
-    CLIENT, PLACES, configuration, description, grants, orders, placement, refusals, scheduler,
+    ADAPTER_SLOTS, CLIENT, configuration, description, grants, orders, placement, refusals,
+    scheduler,
 };
 
 fn key(ticket: u64) -> RequestKey {
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn asking_again_for_a_load_under_way_does_not_count_as_an_order() {
+fn repeating_the_order_for_a_load_in_progress_does_not_count_as_an_order() {
     let (mut scheduler, mut now) = scheduler(&[description(0, &[])]);
     scheduler.place(CLIENT, placement(1, "a1"), now);
     let load = orders(&scheduler.take_outputs()).remove(0);
@@ -59,7 +60,7 @@
 }
 
 #[test]
-fn an_order_without_an_answer_is_given_again_with_the_same_expectation() {
+fn an_unanswered_order_is_issued_again_with_the_same_expected_orders() {
     let (mut scheduler, now) = scheduler(&[description(0, &[])]);
     scheduler.place(CLIENT, placement(1, "a1"), now);
     let lost = orders(&scheduler.take_outputs()).remove(0);
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn after_a_conflict_the_report_tells_what_the_engine_holds() {
+fn after_a_conflict_the_state_is_taken_from_a_report() {
     let (mut scheduler, now) = scheduler(&[description(0, &[])]);
     scheduler.place(CLIENT, placement(1, "a1"), now);
     let load = orders(&scheduler.take_outputs()).remove(0);
@@ -79,16 +80,16 @@
     scheduler.ordered(&load, Outcome::Conflict, now);
     let later = now + Duration::from_millis(400);
     scheduler.tick(later);
-    let asks = scheduler.take_outputs();
+    let report_requests = scheduler.take_outputs();
     let models = description(0, &["a1"]).models;
     scheduler.reported("i-0", Some(&Report { orders: 5, models, ..Report::default() }), later);
 
-    assert!(asks.iter().any(|output| matches!(output, Output::Report(..))));
+    assert!(report_requests.iter().any(|output| matches!(output, Output::Report(..))));
     assert_eq!(grants(&scheduler.take_outputs()), [1]);
 }
 
 #[test]
-fn a_full_engine_drops_the_idle_adapter_that_is_asked_for_least() {
+fn a_full_engine_evicts_the_least_popular_idle_adapter() {
     let names = ["a1", "a2", "a3", "a4", "a5", "a6"];
     let (mut scheduler, mut now) = scheduler(&[description(0, &names)]);
     let mut ticket = 0;
@@ -110,7 +111,7 @@
 }
 
 #[test]
-fn an_adapter_in_use_is_never_dropped() {
+fn an_adapter_in_use_is_never_evicted() {
     let names = ["a1", "a2", "a3", "a4", "a5", "a6"];
     let (mut scheduler, now) = scheduler(&[description(0, &names)]);
     for (ticket, name) in names.iter().enumerate() {
@@ -145,7 +146,7 @@
 }
 
 #[test]
-fn a_refused_fence_ends_the_scheduler() {
+fn a_fenced_order_stops_the_scheduler() {
     let (mut scheduler, now) = scheduler(&[description(0, &[])]);
     scheduler.place(CLIENT, placement(1, "a1"), now);
     let load = orders(&scheduler.take_outputs()).remove(0);
@@ -157,7 +158,7 @@
 }
 
 #[test]
-fn a_rare_adapter_is_left_to_its_home_zone() {
+fn a_rare_adapter_is_not_fetched_outside_its_home_zone() {
     let (mut scheduler, now) = scheduler(&[description(0, &[])]);
     let mut request = placement(1, "a1");
     request.may_fetch = false;
@@ -168,7 +169,7 @@
 }
 
 #[test]
-fn an_adapter_that_many_ask_for_is_fetched_although_another_zone_is_its_home() {
+fn a_popular_adapter_is_fetched_outside_its_home_zone() {
     let (mut scheduler, now) = scheduler(&[description(0, &[])]);
     for ticket in 1..=4 {
         let mut request = placement(ticket, "a1");
@@ -180,14 +181,14 @@
 }
 
 #[rstest]
-#[case::leaving(true)]
-#[case::gone(false)]
-fn an_engine_that_leaves_gets_no_requests(#[case] is_listed: bool) {
+#[case::draining(true)]
+#[case::removed(false)]
+fn a_draining_or_removed_engine_gets_no_requests(#[case] is_listed: bool) {
     let (mut scheduler, now) = scheduler(&[description(0, &["a1"]), description(1, &["a1"])]);
-    let mut leaving = description(0, &["a1"]);
-    leaving.state = orioleroute::ingress::upstream::State::Draining;
+    let mut draining = description(0, &["a1"]);
+    draining.state = orioleroute::ingress::upstream::State::Draining;
     let mut list = vec![description(1, &["a1"])];
-    list.extend(is_listed.then_some(leaving));
+    list.extend(is_listed.then_some(draining));
 
     scheduler.list(&list, now);
     for ticket in 1..=8 {
@@ -203,9 +204,9 @@
 }
 
 #[test]
-fn a_withdrawn_request_frees_the_place_that_was_promised_to_its_adapter() {
+fn a_withdrawn_request_releases_the_slot_reserved_for_its_adapter() {
     let (mut scheduler, now) = scheduler(&[description(0, &[])]);
-    for ticket in 0..(PLACES as u64 + 4) {
+    for ticket in 0..(ADAPTER_SLOTS as u64 + 4) {
         scheduler.place(CLIENT, placement(ticket, &format!("b{ticket}")), now);
         scheduler.ended(key(ticket), None, now);
     }
@@ -213,11 +214,15 @@
 
     let runner = scheduler.runners().next().unwrap();
 
-    assert!(runner.places.len() <= 4, "{} places are taken", runner.places.len());
+    assert!(
+        runner.adapter_slots.len() <= 4,
+        "{} adapter slots are in use",
+        runner.adapter_slots.len()
+    );
 }
 
 #[test]
-fn an_empty_engine_gets_its_base_model_back() {
+fn an_engine_without_a_base_model_is_ordered_to_load_one() {
     let mut empty = description(0, &[]);
     empty.models.clear();
     let now = Instant::from_millis(1_000);
@@ -232,7 +237,7 @@
 }
 
 #[test]
-fn base_models_are_loaded_one_after_another() {
+fn base_models_are_loaded_one_at_a_time() {
     let empties: Vec<_> = (0..3)
         .map(|number| {
             let mut empty = description(number, &[]);
@@ -253,7 +258,7 @@
 }
 
 #[test]
-fn what_waits_for_an_engine_that_does_not_answer_orders_goes_to_another() {
+fn requests_waiting_for_an_unresponsive_engine_move_to_another() {
     let (mut scheduler, now) = scheduler(&[description(0, &[]), description(1, &[])]);
     scheduler.place(CLIENT, placement(1, "a1"), now);
     let lost = orders(&scheduler.take_outputs()).remove(0);
@@ -265,9 +270,9 @@
 }
 
 #[test]
-fn an_adapter_loads_while_its_engine_still_reads_what_goes_before() {
+fn an_adapter_loads_while_the_engine_prefills_earlier_prompts() {
     let (mut scheduler, now) = scheduler(&[description(0, &["a1"])]);
-    // Two prompts of a hundred milliseconds each: more than an engine gets at once.
+    // Two prompts of 100 ms each exceed the maximum backlog of an engine.
     scheduler.place(CLIENT, placement(1, "a1"), now);
     scheduler.place(CLIENT, placement(2, "a1"), now);
     scheduler.take_outputs();
@@ -279,7 +284,7 @@
 }
 
 #[test]
-fn the_next_fetch_of_a_zone_goes_to_its_most_urgent_request() {
+fn the_next_fetch_is_for_the_most_urgent_request() {
     let descriptions: Vec<_> = (0..12).map(|number| description(number, &[])).collect();
     let (mut scheduler, now) = scheduler(&descriptions);
     for ticket in 0..12 {
@@ -305,27 +310,27 @@
 }
 
 #[test]
-fn a_client_that_came_back_is_refused_at_once_if_it_would_be_given_up_while_it_waits() {
+fn a_retry_that_would_time_out_while_waiting_is_refused_at_once() {
     let (mut scheduler, now) = scheduler(&[description(0, &["a1"])]);
-    // A second of prompts, taken for clients that have the time.
+    // Prompts that take a second to prefill, admitted because their clients can wait.
     for ticket in 0..10 {
         let mut patient = placement(ticket, "a1");
         (patient.objective_left_ms, patient.time_left_ms) = (6_000, 20_000);
         scheduler.place(CLIENT, patient, now);
     }
     scheduler.take_outputs();
-    let mut returned = placement(100, "a1");
-    returned.is_return = true;
-    returned.priority = 2;
-    (returned.objective_left_ms, returned.time_left_ms) = (500, 3_000);
+    let mut retry = placement(100, "a1");
+    retry.is_return = true;
+    retry.priority = 2;
+    (retry.objective_left_ms, retry.time_left_ms) = (500, 3_000);
 
-    scheduler.place(CLIENT, returned, now);
+    scheduler.place(CLIENT, retry, now);
 
     assert_eq!(refusals(&scheduler.take_outputs()), [(100, Reason::Overloaded)]);
 }
 
 #[test]
-fn adapters_that_are_asked_for_together_are_loaded_by_different_engines() {
+fn adapters_requested_together_are_loaded_by_different_engines() {
     let descriptions: Vec<_> = (0..3).map(|number| description(number, &[])).collect();
     let (mut scheduler, now) = scheduler(&descriptions);
 
@@ -339,7 +344,7 @@
 }
 
 #[test]
-fn slow_fetches_are_expected_to_be_slow_for_a_while() {
+fn the_estimate_for_fetches_stays_raised_after_slow_ones_and_then_decays() {
     let (mut scheduler, mut now) = scheduler(&[description(0, &[])]);
     let mut loads = Vec::new();
     for ticket in 0..4 {
--- a/crates/orioleroute/tests/scheduling/mod.rs
+++ b/crates/orioleroute/tests/scheduling/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures of the scheduler's tests, and a replay of loads against a model of engines.
+//! Fixtures for the scheduler's tests, and a replay of request loads against simulated engines.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,21 +13,21 @@
 use orioleroute::scheduler::{Client, Output, RequestKey, Scheduler};
 
 pub const CLIENT: Client = Client(1);
-pub const PLACES: usize = 6;
+pub const ADAPTER_SLOTS: usize = 6;
 
-/// The prompt tokens that a model engine reads in a millisecond.
-pub const RATE: f64 = 20.0;
+/// Prefill rate of a simulated engine, in tokens per millisecond.
+pub const PREFILL_RATE: f64 = 20.0;
 
-const FETCH: Duration = Duration::from_millis(250);
-const RELOAD: Duration = Duration::from_millis(25);
+const FETCH_TIME: Duration = Duration::from_millis(250);
+const RELOAD_TIME: Duration = Duration::from_millis(25);
 
-/// How long an order's answer is waited for.
+/// Timeout for the answer to an order.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The fetches that run at full speed at once.
-pub const FULL_SPEED: usize = 8;
+/// Number of concurrent fetches that run at full speed.
+pub const FULL_SPEED_FETCHES: usize = 8;
 
-/// When a scheduler has read its engines' reports, and a replay begins.
+/// When the scheduler has received the reports of its engines, and a replay begins.
 pub const START: Instant = Instant::from_millis(1_000);
 
 pub fn configuration() -> Arc<Configuration> {
@@ -40,7 +40,7 @@
     let engine = Engine {
         slots: 64,
         cache_tokens: 150_000,
-        adapter_places: PLACES,
+        adapter_places: ADAPTER_SLOTS,
         weights_mb: 66_500.0,
         models: vec![model],
     };
@@ -84,7 +84,7 @@
     }
 }
 
-/// Returns a scheduler of these engines that has read their reports, and the time then.
+/// Returns a scheduler that has received the reports of these engines, and the current time.
 pub fn scheduler(descriptions: &[Description]) -> (Scheduler, Instant) {
     let mut scheduler = Scheduler::new(7, configuration());
     scheduler.list(descriptions, Instant::ZERO);
@@ -130,89 +130,95 @@
 }
 
 impl Arrival {
-    fn client_waits(&self) -> Duration {
+    fn client_timeout(&self) -> Duration {
         Duration::from_millis(self.placement.time_left_ms)
     }
 }
 
-/// How a replayed load was served.
+/// The outcomes of a replayed load.
 #[derive(Clone, Debug, Default)]
-pub struct Result {
-    pub asked: usize,
-    pub in_time: usize,
+pub struct ReplayResult {
+    pub requests: usize,
+    pub on_time: usize,
     pub late: usize,
     pub refused_at_once: usize,
     pub refused_later: usize,
-    /// Those whose clients left without an answer.
+    /// Requests whose clients timed out without an answer.
     pub failed: usize,
     pub longest_refusal: Duration,
     pub fetches: usize,
-    pub in_time_of: BTreeMap<u8, usize>,
-    pub asked_of: BTreeMap<u8, usize>,
+    pub on_time_by_priority: BTreeMap<u8, usize>,
+    pub requests_by_priority: BTreeMap<u8, usize>,
 }
 
-impl Result {
-    /// Returns the share of a priority's requests that were served in time.
-    pub fn share(&self, priority: u8) -> f64 {
-        let served = self.in_time_of.get(&priority).copied().unwrap_or_default();
-        served as f64 / self.asked_of.get(&priority).copied().unwrap_or_default().max(1) as f64
+impl ReplayResult {
+    /// Returns the share of the requests of a priority that were served on time.
+    pub fn on_time_share(&self, priority: u8) -> f64 {
+        let served = self.on_time_by_priority.get(&priority).copied().unwrap_or_default();
+        served as f64
+            / self.requests_by_priority.get(&priority).copied().unwrap_or_default().max(1) as f64
     }
 }
 
-/// An engine as the platform describes it: prompts are read one after another, and a run lasts for
-/// the rest of a second after its first token.
+/// A simulated engine with the behaviour that the platform documents: prompts are prefilled one after
+/// another, and a request runs for the rest of a second after its first token.
 struct ModelEngine {
     held: BTreeSet<Arc<str>>,
-    known: BTreeSet<Arc<str>>,
+    cached: BTreeSet<Arc<str>>,
     loading: BTreeMap<Arc<str>, (f64, bool)>,
     orders: u64,
-    silent_since: Option<Instant>,
-    /// Orders without an answer, and when they are given up.
+    unresponsive_since: Option<Instant>,
+    /// Orders without an answer, and when they time out.
     unanswered: Vec<(Instant, Order)>,
     prompts: Vec<(RequestKey, f64)>,
     running: Vec<(RequestKey, Instant)>,
 }
 
-/// What a load is replayed on.
-pub struct Setting {
+/// The engines and the weight store that a load is replayed on.
+pub struct ReplaySetup {
     pub engines: usize,
-    /// The fetches that run at full speed at once.
-    pub full_speed: usize,
-    /// The engines, from the first on, that answer nothing once `silent_from` has come.
-    pub silent: usize,
-    pub silent_from: Duration,
+    /// The number of concurrent fetches that run at full speed.
+    pub full_speed_fetches: usize,
+    /// The number of engines, counted from the first, that stop answering at `unresponsive_from`.
+    pub unresponsive: usize,
+    pub unresponsive_from: Duration,
 }
 
-impl Setting {
+impl ReplaySetup {
     pub fn new(engines: usize) -> Self {
-        Self { engines, full_speed: FULL_SPEED, silent: 0, silent_from: Duration::ZERO }
+        Self {
+            engines,
+            full_speed_fetches: FULL_SPEED_FETCHES,
+            unresponsive: 0,
+            unresponsive_from: Duration::ZERO,
+        }
     }
 }
 
-/// Replays a load on so many engines, in steps of a millisecond.
-pub fn replay(engines: usize, arrivals: &[Arrival]) -> Result {
-    replay_with(&Setting::new(engines), arrivals)
+/// Replays a load on this many engines, in steps of a millisecond.
+pub fn replay(engines: usize, arrivals: &[Arrival]) -> ReplayResult {
+    replay_with(&ReplaySetup::new(engines), arrivals)
 }
 
-/// Replays a load in a certain setting.
-pub fn replay_with(setting: &Setting, arrivals: &[Arrival]) -> Result {
+/// Replays a load with the given setup.
+pub fn replay_with(setup: &ReplaySetup, arrivals: &[Arrival]) -> ReplayResult {
     let descriptions: Vec<Description> =
-        (0..setting.engines).map(|number| description(number, &[])).collect();
+        (0..setup.engines).map(|number| description(number, &[])).collect();
     let (mut scheduler, mut now) = scheduler(&descriptions);
     let start = now;
-    let mut models: Vec<ModelEngine> = (0..setting.engines)
+    let mut models: Vec<ModelEngine> = (0..setup.engines)
         .map(|_| ModelEngine {
             held: BTreeSet::new(),
-            known: BTreeSet::new(),
+            cached: BTreeSet::new(),
             loading: BTreeMap::new(),
             orders: 0,
-            silent_since: None,
+            unresponsive_since: None,
             unanswered: Vec::new(),
             prompts: Vec::new(),
             running: Vec::new(),
         })
         .collect();
-    let mut result = Result::default();
+    let mut result = ReplayResult::default();
     let mut pending: BTreeMap<u64, Arrival> = BTreeMap::new();
     let mut arrivals = arrivals.to_vec();
     arrivals.sort_by_key(|arrival| arrival.at);
@@ -221,20 +227,20 @@
         now += Duration::from_millis(1);
         let elapsed = Instant::ZERO + now.since(start);
         while let Some(arrival) = arrivals.next_if(|arrival| arrival.at <= elapsed) {
-            result.asked += 1;
-            *result.asked_of.entry(arrival.placement.priority).or_default() += 1;
+            result.requests += 1;
+            *result.requests_by_priority.entry(arrival.placement.priority).or_default() += 1;
             pending.insert(arrival.placement.ticket, arrival.clone());
             scheduler.place(CLIENT, arrival.placement, now);
         }
-        for model in models.iter_mut().take(setting.silent) {
-            if now.since(start) >= setting.silent_from {
-                model.silent_since.get_or_insert(now);
+        for model in models.iter_mut().take(setup.unresponsive) {
+            if now.since(start) >= setup.unresponsive_from {
+                model.unresponsive_since.get_or_insert(now);
             }
         }
-        give_up_orders(&mut models, &mut scheduler, now);
+        time_out_orders(&mut models, &mut scheduler, now);
         let gone: Vec<u64> = pending
             .values()
-            .filter(|arrival| elapsed.since(arrival.at) > arrival.client_waits())
+            .filter(|arrival| elapsed.since(arrival.at) > arrival.client_timeout())
             .map(|arrival| arrival.placement.ticket)
             .collect();
         for ticket in gone {
@@ -243,18 +249,18 @@
             let key = RequestKey { client: CLIENT, ticket };
             scheduler.ended(key, Some(RunResult::Abandoned), now);
         }
-        let slowdown = slowdown(&models, setting.full_speed);
+        let slowdown = slowdown(&models, setup.full_speed_fetches);
         step_engines(&mut models, &mut scheduler, &mut pending, &mut result, now, slowdown);
         if scheduler.next_check().is_some_and(|check| check <= now) {
             scheduler.tick(now);
         }
-        carry_out(&mut models, &mut scheduler, &mut pending, &mut result, now, elapsed);
+        apply_outputs(&mut models, &mut scheduler, &mut pending, &mut result, now, elapsed);
     }
     result
 }
 
-/// Ends the orders that had no answer in time.
-fn give_up_orders(models: &mut [ModelEngine], scheduler: &mut Scheduler, now: Instant) {
+/// Ends the orders that have timed out without an answer.
+fn time_out_orders(models: &mut [ModelEngine], scheduler: &mut Scheduler, now: Instant) {
     for model in models {
         let (due, rest) =
             std::mem::take(&mut model.unanswered).into_iter().partition(|(at, _)| *at <= now);
@@ -266,33 +272,33 @@
     }
 }
 
-/// Returns how many times as long a fetch takes now as alone.
-fn slowdown(models: &[ModelEngine], full_speed: usize) -> f64 {
-    let answering = models.iter().filter(|model| model.silent_since.is_none());
+/// Returns the current duration of a fetch relative to one that runs alone.
+fn slowdown(models: &[ModelEngine], full_speed_fetches: usize) -> f64 {
+    let answering = models.iter().filter(|model| model.unresponsive_since.is_none());
     let fetching = answering.flat_map(|model| model.loading.values());
     let fetching = fetching.filter(|(_, is_fetch)| *is_fetch).count();
-    (fetching as f64 / full_speed as f64).max(1.0)
+    (fetching as f64 / full_speed_fetches as f64).max(1.0)
 }
 
 fn step_engines(
     models: &mut [ModelEngine],
     scheduler: &mut Scheduler,
     pending: &mut BTreeMap<u64, Arrival>,
-    result: &mut Result,
+    result: &mut ReplayResult,
     now: Instant,
     slowdown: f64,
 ) {
-    for model in models.iter_mut().filter(|model| model.silent_since.is_none()) {
+    for model in models.iter_mut().filter(|model| model.unresponsive_since.is_none()) {
         for (adapter, (left, is_fetch)) in &mut model.loading {
             *left -= if *is_fetch { 1.0 / slowdown } else { 1.0 };
             if *left <= 0.0 {
                 model.held.insert(adapter.clone());
-                model.known.insert(adapter.clone());
+                model.cached.insert(adapter.clone());
             }
         }
         model.loading.retain(|_, (left, _)| *left > 0.0);
         if let Some((key, left)) = model.prompts.first_mut() {
-            *left -= RATE;
+            *left -= PREFILL_RATE;
             if *left <= 0.0 {
                 let key = *key;
                 model.prompts.remove(0);
@@ -302,8 +308,11 @@
                 let objective = Duration::from_millis(arrival.placement.objective_left_ms);
                 match now.since(START + arrival.at.since(Instant::ZERO)) <= objective {
                     true => {
-                        result.in_time += 1;
-                        *result.in_time_of.entry(arrival.placement.priority).or_default() += 1;
+                        result.on_time += 1;
+                        *result
+                            .on_time_by_priority
+                            .entry(arrival.placement.priority)
+                            .or_default() += 1;
                     }
                     false => result.late += 1,
                 }
@@ -319,11 +328,11 @@
     }
 }
 
-fn carry_out(
+fn apply_outputs(
     models: &mut [ModelEngine],
     scheduler: &mut Scheduler,
     pending: &mut BTreeMap<u64, Arrival>,
-    result: &mut Result,
+    result: &mut ReplayResult,
     now: Instant,
     elapsed: Instant,
 ) {
@@ -335,24 +344,24 @@
         for output in outputs {
             match output {
                 Output::Order(_, order) => {
-                    let model = &mut models[number(&order.upstream)];
-                    if model.silent_since.is_some() {
+                    let model = &mut models[engine_index(&order.upstream)];
+                    if model.unresponsive_since.is_some() {
                         model.unanswered.push((now + ORDER_TIMEOUT, order));
                         continue;
                     }
-                    let outcome = obey(model, &order, result);
+                    let outcome = apply_order(model, &order, result);
                     scheduler.ordered(&order, outcome, now);
                 }
                 Output::Tell(client, ToInstance::Grant(grant)) => {
                     let key = RequestKey { client, ticket: grant.ticket };
                     let tokens = f64::from(pending[&grant.ticket].placement.prompt_tokens);
-                    models[number(&grant.upstream)].prompts.push((key, tokens));
+                    models[engine_index(&grant.upstream)].prompts.push((key, tokens));
                 }
                 Output::Tell(_, ToInstance::Refuse { ticket, .. }) => {
                     let Some(arrival) = pending.remove(&ticket) else { continue };
-                    let held = elapsed.since(arrival.at);
-                    result.longest_refusal = result.longest_refusal.max(held);
-                    match held < Duration::from_millis(5) {
+                    let waited = elapsed.since(arrival.at);
+                    result.longest_refusal = result.longest_refusal.max(waited);
+                    match waited < Duration::from_millis(5) {
                         true => result.refused_at_once += 1,
                         false => result.refused_later += 1,
                     }
@@ -363,11 +372,11 @@
     }
 }
 
-fn number(upstream: &str) -> usize {
+fn engine_index(upstream: &str) -> usize {
     upstream.trim_start_matches("i-").parse().unwrap()
 }
 
-fn obey(model: &mut ModelEngine, order: &Order, result: &mut Result) -> Outcome {
+fn apply_order(model: &mut ModelEngine, order: &Order, result: &mut ReplayResult) -> Outcome {
     match &order.action {
         Action::LoadAdapter { adapter, .. } if model.loading.contains_key(adapter) => {
             Outcome::Accepted
@@ -376,12 +385,12 @@
         Action::LoadAdapter { adapter, .. } if model.held.contains(adapter) => Outcome::Holds,
         Action::LoadAdapter { adapter, .. } => {
             let taken = model.held.len() + model.loading.len();
-            assert!(taken < PLACES, "an engine was ordered to load more than fits");
+            assert!(taken < ADAPTER_SLOTS, "an engine was ordered to load more than fits");
             assert!(model.loading.len() < 4, "an engine was ordered more loads than it takes");
             model.orders += 1;
-            let is_fetch = !model.known.contains(adapter);
+            let is_fetch = !model.cached.contains(adapter);
             result.fetches += usize::from(is_fetch);
-            let time = if is_fetch { FETCH } else { RELOAD };
+            let time = if is_fetch { FETCH_TIME } else { RELOAD_TIME };
             model.loading.insert(adapter.clone(), (time.as_millis() as f64, is_fetch));
             Outcome::Accepted
         }
