--- a/crates/orioleroute-node/src/gateway/election.rs
+++ b/crates/orioleroute-node/src/gateway/election.rs
@@ -1,4 +1,4 @@
-//! Elections: taking over availability zones whose leader is gone, and stepping down.
+//! Elections: takes over availability zones whose leader has failed, and steps down.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -8,35 +8,37 @@
 use orioleroute_platform::store::{Commit, Write};
 use slog::{debug, warn};
 
-use super::leadership::{self, Leader, REVIEW_INTERVAL, review};
+use super::leadership::{self, ELECTION_INTERVAL, Leader, reconcile};
 use super::state::Gateway;
-use super::sync::{CLUSTER, LEADERS};
+use super::sync::{CLUSTER_TABLE, LEADER_PREFIX};
 
-/// The time after its start in which an instance learns of the others before it takes a zone over.
-const INTRODUCTION: Duration = Duration::from_millis(1_500);
+/// The time after the start during which an instance discovers the others before it takes over a zone.
+const DISCOVERY_PERIOD: Duration = Duration::from_millis(1_500);
 
-/// How long a leader must look gone, so that heartbeats that wait while this process was held up
-/// are read first.
+/// How long a leader must appear failed before it is replaced. Heartbeats that queued up while this
+/// process was stalled are read first.
 const VACANCY_CONFIRMATION: Duration = Duration::from_millis(300);
 
-/// How much longer each next candidate for a zone waits than the one before.
-const CANDIDATE_STEP: Duration = Duration::from_millis(1_000);
+/// The additional delay of each candidate for a zone over the candidate ranked before it.
+const CANDIDATE_DELAY_STEP: Duration = Duration::from_millis(1_000);
 
-/// How much longer an instance waits that hears no other: it is more likely cut off than alone.
+/// The additional delay of an instance that receives no heartbeats although others are listed: it is
+/// more likely partitioned than the only one alive.
 const ISOLATION_DELAY: Duration = Duration::from_millis(5_000);
 
-/// How long an instance of a zone must have been there before another zone's steps down for it: it has
-/// read the tables by then, and a flapping instance does not become leader.
+/// How long a zone must have an instance of its own before a leader from another zone steps down for it.
+/// By then that instance has read the tables, and a flapping instance does not become leader.
 const HANDOVER_DELAY: Duration = Duration::from_millis(3_500);
 
-/// Since when zones have had no leader, or one from another zone.
+/// Since when zones have had no live leader, or a leader that is due to hand over.
 #[derive(Default)]
 pub struct Timers {
     vacant_since: RefCell<Map<Arc<str>, Instant>>,
-    owed_since: RefCell<Map<Arc<str>, Instant>>,
+    handover_due_since: RefCell<Map<Arc<str>, Instant>>,
 }
 
-/// Takes over zones whose leader is gone, if this instance is next in line.
+/// Takes over the zones without a live leader for which this instance's delay has passed, and steps
+/// down from those that are due for a handover.
 pub fn elect(gateway: &Rc<Gateway>) {
     let now = gateway.now();
     let Some(configuration) = gateway.configuration() else { return };
@@ -44,7 +46,7 @@
         return;
     }
     let own = gateway.roster().own().name.clone();
-    let is_introduced = now >= Instant::ZERO + INTRODUCTION;
+    let is_discovery_over = now >= Instant::ZERO + DISCOVERY_PERIOD;
     let zones: Set<Arc<str>> = {
         let registry = gateway.registry();
         let engines =
@@ -52,9 +54,9 @@
         engines.map(|upstream| upstream.zone.clone()).collect()
     };
     for zone in zones {
-        // What a former start of this instance held needs no introduction.
+        // Zones led by a previous incarnation of this instance need no discovery of other candidates.
         let was_own = gateway.leadership.leader(&zone).is_some_and(|leader| leader.holder == own);
-        if !is_introduced && !was_own {
+        if !is_discovery_over && !was_own {
             continue;
         }
         if should_hand_over(gateway, &zone, now) {
@@ -69,34 +71,34 @@
             }
             true => {
                 let since = *vacant_since.entry(zone.clone()).or_insert(now);
-                if now.since(since) >= delay(gateway, &zone, now) {
+                if now.since(since) >= takeover_delay(gateway, &zone, now) {
                     vacant_since.insert(zone.clone(), now);
                     drop(vacant_since);
-                    monoio::spawn(take(gateway.clone(), zone));
+                    monoio::spawn(take_over(gateway.clone(), zone));
                 }
             }
         }
     }
 }
 
-/// Returns whether this instance schedules a zone that is not its own although an instance of that zone
-/// has long been there to do it.
+/// Returns whether this instance schedules a zone other than its own while an instance in that zone has
+/// been serving for at least [`HANDOVER_DELAY`].
 fn should_hand_over(gateway: &Rc<Gateway>, zone: &Arc<str>, now: Instant) -> bool {
     let roster = gateway.roster();
-    let is_held = gateway.leadership.fencing(zone).is_some();
+    let is_held = gateway.leadership.fencing_token(zone).is_some();
     let is_outside = *roster.own().zone != **zone;
     let mut successors = roster.serving(now).into_iter();
-    let is_owed = is_held && is_outside && successors.any(|member| member.zone == *zone);
-    let mut owed_since = gateway.leadership.timers.owed_since.borrow_mut();
-    if !is_owed {
-        owed_since.remove(zone);
+    let is_handover_due = is_held && is_outside && successors.any(|member| member.zone == *zone);
+    let mut handover_due_since = gateway.leadership.timers.handover_due_since.borrow_mut();
+    if !is_handover_due {
+        handover_due_since.remove(zone);
         return false;
     }
-    let since = *owed_since.entry(zone.clone()).or_insert(now);
+    let since = *handover_due_since.entry(zone.clone()).or_insert(now);
     if now.since(since) < HANDOVER_DELAY {
         return false;
     }
-    owed_since.insert(zone.clone(), now);
+    handover_due_since.insert(zone.clone(), now);
     true
 }
 
@@ -111,8 +113,10 @@
     }
 }
 
-/// Returns how long this instance leaves a zone without a leader to others that are closer to it.
-fn delay(gateway: &Rc<Gateway>, zone: &str, now: Instant) -> Duration {
+/// Returns how long this instance waits before it takes over a zone, so that better-ranked candidates
+/// go first. Instances in the zone rank before others; within both groups, the order is by rendezvous
+/// hashing weighted by capacity.
+fn takeover_delay(gateway: &Rc<Gateway>, zone: &str, now: Instant) -> Duration {
     let roster = gateway.roster();
     let own = roster.own();
     let leader = gateway.leadership.leader(zone);
@@ -136,75 +140,78 @@
     let rank = candidates.iter().position(|(_, _, member)| member.name == own.name).unwrap_or(0);
     let is_isolated = candidates.len() == 1 && roster.peers().next().is_some();
     let isolation = if is_isolated { ISOLATION_DELAY } else { Duration::ZERO };
-    confirmation + CANDIDATE_STEP * rank as u32 + isolation
+    confirmation + CANDIDATE_DELAY_STEP * rank as u32 + isolation
 }
 
-/// Writes this instance into a zone's row if nobody else did since it was read.
-pub async fn take(gateway: Rc<Gateway>, zone: Arc<str>) {
+/// Writes this instance into the leader row of a zone, unless the row has changed since it was read.
+pub async fn take_over(gateway: Rc<Gateway>, zone: Arc<str>) {
     let own = gateway.roster().own().clone();
     let leader = Leader { holder: own.name, incarnation: own.incarnation };
     let expected = gateway.leadership.row_version(&zone);
     let write = Write {
-        table: CLUSTER,
-        key: format!("{LEADERS}{zone}"),
+        table: CLUSTER_TABLE,
+        key: format!("{LEADER_PREFIX}{zone}"),
         expected: Some(expected),
         value: serde_json::to_vec(&leader).ok(),
     };
     match gateway.store.commit(&[write]).await {
         Ok(Commit::Done(version)) => {
-            gateway.leadership.occupy(&zone, leader, version);
-            review(&gateway);
+            gateway.leadership.set_leader(&zone, leader, version);
+            reconcile(&gateway);
         }
-        Ok(Commit::Conflict) => debug!(gateway.log, "zone taken by another"; "zone" => &*zone),
-        // If it was written all the same, the watch will show it.
+        Ok(Commit::Conflict) => {
+            debug!(gateway.log, "takeover lost to another instance"; "zone" => &*zone)
+        }
+        // If the write was applied despite the error, the watch will deliver the row.
         Err(error) => {
-            warn!(gateway.log, "zone not taken"; "zone" => &*zone, "error" => error.to_string());
+            warn!(gateway.log, "takeover failed"; "zone" => &*zone, "error" => error.to_string());
         }
     }
 }
 
-/// Reads the leaders anew, until the store answers.
+/// Reads the leaders from the store, retrying until it answers.
 pub async fn read_leaders(gateway: Rc<Gateway>) {
     loop {
-        match gateway.store.read(CLUSTER).await {
+        match gateway.store.read(CLUSTER_TABLE).await {
             Ok(read) => {
-                gateway.leadership.resume();
+                gateway.leadership.resume_orders();
                 for row in read.rows {
-                    let Some(zone) = row.key.strip_prefix(LEADERS) else { continue };
+                    let Some(zone) = row.key.strip_prefix(LEADER_PREFIX) else { continue };
                     let leader = row.value.as_deref().map(serde_json::from_slice::<Leader>);
                     if let Some(Ok(leader)) = leader {
-                        gateway.leadership.occupy(zone, leader, row.version);
+                        gateway.leadership.set_leader(zone, leader, row.version);
                     }
                 }
-                return review(&gateway);
+                return reconcile(&gateway);
             }
             Err(error) => {
-                debug!(gateway.log, "leaders unread"; "error" => error.to_string());
-                monoio::time::sleep(REVIEW_INTERVAL).await;
+                debug!(gateway.log, "reading leaders failed"; "error" => error.to_string());
+                monoio::time::sleep(ELECTION_INTERVAL).await;
             }
         }
     }
 }
 
-/// Steps down from all zones, so that others need not wait for this instance's silence.
+/// Steps down from all zones, so that successors need not wait for this instance's heartbeats to
+/// time out.
 pub async fn step_down(gateway: Rc<Gateway>) {
-    for zone in gateway.leadership.held() {
+    for zone in gateway.leadership.scheduled_zones() {
         step_down_from(gateway.clone(), zone).await;
     }
 }
 
-/// Steps down from one zone.
+/// Clears the leader row of one zone, unless it has changed since this instance became leader.
 async fn step_down_from(gateway: Rc<Gateway>, zone: Arc<str>) {
-    let Some(version) = gateway.leadership.fencing(&zone) else { return };
-    let key = format!("{LEADERS}{zone}");
-    let write = Write { table: CLUSTER, key, expected: Some(version), value: None };
+    let Some(version) = gateway.leadership.fencing_token(&zone) else { return };
+    let key = format!("{LEADER_PREFIX}{zone}");
+    let write = Write { table: CLUSTER_TABLE, key, expected: Some(version), value: None };
     match gateway.store.commit(&[write]).await {
-        Ok(Commit::Done(version)) => gateway.leadership.vacate(&zone, version),
+        Ok(Commit::Done(version)) => gateway.leadership.clear_leader(&zone, version),
         Ok(Commit::Conflict) => {}
         Err(error) => {
-            warn!(gateway.log, "not stepped down"; "zone" => &*zone,
+            warn!(gateway.log, "step-down failed"; "zone" => &*zone,
                 "error" => error.to_string());
         }
     }
-    review(&gateway);
+    reconcile(&gateway);
 }
--- a/crates/orioleroute-node/src/gateway/directory.rs
+++ b/crates/orioleroute-node/src/gateway/endpoints.rs
@@ -1,4 +1,4 @@
-//! The small listeners: readiness, addresses for clients, and metrics.
+//! The auxiliary endpoints: readiness, address resolution for clients, and metrics.
 
 use std::rc::Rc;
 
@@ -13,16 +13,16 @@
 
 use super::state::Gateway;
 
-/// The longest head of a question, in bytes.
-const MAX_HEAD: usize = 8 << 10;
+/// The largest request head, in bytes.
+const MAX_HEAD_BYTES: usize = 8 << 10;
 
-/// The longest wait for the next question on a connection.
+/// The longest wait for the next request on a connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The wait after a failed accept, which is mostly for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// The pause after a failed accept, which is mostly due to a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Answers whether this instance takes requests, forever.
+/// Serves the readiness of this instance, forever.
 pub async fn serve_ready(gateway: Rc<Gateway>, listener: TcpListener) {
     let answer = |gateway: &Rc<Gateway>, request: &Request| match request.path() {
         ingress::READY_PATH if gateway.is_serving() => (StatusCode::OK, Vec::new()),
@@ -32,7 +32,7 @@
     serve(gateway, listener, answer, "text/plain").await;
 }
 
-/// Answers which addresses clients should use, forever.
+/// Serves the addresses that clients should use, forever.
 pub async fn serve_resolutions(gateway: Rc<Gateway>, listener: TcpListener) {
     let answer = |gateway: &Rc<Gateway>, request: &Request| {
         if request.path() != ingress::RESOLVE_PATH {
@@ -60,35 +60,35 @@
     gateway: Rc<Gateway>,
     listener: TcpListener,
     answer: impl Fn(&Rc<Gateway>, &Request) -> (StatusCode, Vec<u8>) + 'static,
-    media: &'static str,
+    content_type: &'static str,
 ) {
     let answer = Rc::new(answer);
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                warn!(gateway.log, "no connection accepted"; "error" => error.to_string());
-                monoio::time::sleep(ACCEPT_PAUSE).await;
+                warn!(gateway.log, "accepting a connection failed"; "error" => error.to_string());
+                monoio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         let Ok(socket) = Socket::accepted(stream) else { continue };
         let (gateway, answer) = (gateway.clone(), answer.clone());
         monoio::spawn(async move {
-            // A peer that breaks off has no use for an answer.
-            let _ = converse(&gateway, socket, &*answer, media).await;
+            // The error is dropped: a client that has disconnected needs no response.
+            let _ = serve_connection(&gateway, socket, &*answer, content_type).await;
         });
     }
 }
 
-async fn converse(
+async fn serve_connection(
     gateway: &Rc<Gateway>,
     mut socket: Socket,
     answer: &impl Fn(&Rc<Gateway>, &Request) -> (StatusCode, Vec<u8>),
-    media: &str,
+    content_type: &str,
 ) -> std::io::Result<()> {
     loop {
-        let request = match Request::parse(&mut socket.input, MAX_HEAD) {
+        let request = match Request::parse(&mut socket.input, MAX_HEAD_BYTES) {
             Ok(Some(request)) => request,
             Ok(None) => match monoio::time::timeout(IDLE_TIMEOUT, socket.fill()).await {
                 Ok(Ok(read)) if read > 0 => continue,
@@ -99,7 +99,7 @@
         let (status, body) = answer(gateway, &request);
         let mut output = Vec::with_capacity(256 + body.len());
         head::write_response(&mut output, status, &http::HeaderMap::new());
-        head::write_field(&mut output, "content-type", media);
+        head::write_field(&mut output, "content-type", content_type);
         head::write_field(&mut output, "content-length", body.len().to_string());
         output.extend_from_slice(b"\r\n");
         output.extend_from_slice(&body);
--- a/crates/orioleroute-node/src/gateway/exchange.rs
+++ b/crates/orioleroute-node/src/gateway/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange with an upstream: the request out, the answer in as it arrives.
+//! HTTP exchanges with upstreams: sends a request and reads the response as it arrives.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -10,73 +10,73 @@
 use orioleroute_wire::http1::head::{self, Response};
 use orioleroute_wire::http1::socket::Socket;
 
-/// The longest wait for a connection: a round trip between regions takes 24 ms, and a lost packet
-/// costs another second, for which there are other upstreams.
+/// The longest wait for a connection. A round trip between regions takes 24 ms; a lost packet costs
+/// another second, and trying another upstream is faster than that.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The longest head of an answer, in bytes.
-const MAX_HEAD: usize = 32 << 10;
+/// The largest head of a response, in bytes.
+const MAX_HEAD_BYTES: usize = 32 << 10;
 
-/// Idle connections kept open to one upstream.
-const IDLE_PER_UPSTREAM: usize = 8;
+/// The most idle connections kept open to one upstream.
+const MAX_IDLE_PER_UPSTREAM: usize = 8;
 
-/// How long an idle connection is used again if the upstream does not say how long it keeps it.
-const IDLE_LIFE: Duration = Duration::from_millis(1_500);
+/// How long an idle connection can be reused if the upstream sends no `Keep-Alive` timeout.
+const DEFAULT_MAX_IDLE: Duration = Duration::from_millis(1_500);
 
-/// The part of the time that an upstream promises to keep an idle connection in which it is used.
-const IDLE_SHARE: f64 = 0.6;
+/// The fraction of the upstream's `Keep-Alive` timeout during which an idle connection is reused.
+const KEEP_ALIVE_FRACTION: f64 = 0.6;
 
-/// How long an idle connection is used again for a request that may run only once: a request that
-/// meets the closing of its connection has an unknown outcome.
-const FRESH: Duration = Duration::from_millis(800);
+/// How long an idle connection can be reused for a request that may run only once. If the upstream
+/// closes the connection while the request is being sent, its outcome is unknown.
+const NON_REPEATABLE_MAX_IDLE: Duration = Duration::from_millis(800);
 
-/// An upstream to send to.
+/// The upstream to send a request to.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Its id.
+    /// The id of the upstream.
     pub id: Arc<str>,
-    /// Where it takes requests.
+    /// The address for requests.
     pub address: SocketAddr,
 }
 
-/// A request as it goes out.
+/// A request to send to an upstream.
 pub struct Outgoing<'a> {
     /// The method.
     pub method: &'a Method,
     /// The path and query.
     pub target: &'a str,
-    /// The header fields without the framing.
+    /// The header fields, without `content-length` and `transfer-encoding`.
     pub headers: HeaderMap,
     /// The body.
     pub body: &'a Bytes,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub is_repeatable: bool,
 }
 
-/// Why an exchange has no answer.
+/// Why an exchange failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Failure {
-    /// The upstream could not be reached, so nothing was sent.
+    /// Connecting failed, so nothing was sent.
     #[error("connect: {0}")]
     Unreachable(String),
-    /// The connection ended, or what came was no answer; the request may have run.
+    /// The connection ended early or the response was malformed; the request may have run.
     #[error("answer: {0}")]
     Broken(String),
 }
 
-/// Connections to upstreams, kept open between requests.
+/// The pool of idle connections to upstreams.
 #[derive(Default)]
 pub struct Connections {
-    idle: RefCell<Map<Arc<str>, Vec<Idle>>>,
+    idle: RefCell<Map<Arc<str>, Vec<IdleConnection>>>,
 }
 
-struct Idle {
+struct IdleConnection {
     socket: Socket,
-    since: Instant,
-    life: Duration,
+    idle_since: Instant,
+    max_idle: Duration,
 }
 
-/// An answer whose body is still arriving.
+/// A response whose body is still arriving.
 pub struct Incoming {
     /// The head.
     pub head: Response,
@@ -87,19 +87,19 @@
 }
 
 impl Connections {
-    /// Sends a request and returns once the head of the answer is there.
+    /// Sends a request and returns once the head of the response has arrived.
     ///
     /// # Errors
     ///
-    /// Fails if the upstream cannot be reached or breaks off.
+    /// Fails if the upstream is unreachable, closes the connection early or sends a malformed head.
     pub async fn send(
         &self,
         target: &Target,
         request: Outgoing<'_>,
         now: Instant,
     ) -> Result<Incoming, Failure> {
-        let life = if request.is_repeatable { Duration::MAX } else { FRESH };
-        let mut socket = match self.take(&target.id, life, now) {
+        let max_idle = if request.is_repeatable { Duration::MAX } else { NON_REPEATABLE_MAX_IDLE };
+        let mut socket = match self.take_idle(&target.id, max_idle, now) {
             Some(socket) => socket,
             None => Socket::connect(target.address, CONNECT_TIMEOUT)
                 .await
@@ -108,7 +108,7 @@
         let mut output = encode(&request);
         let broken = |cause: &dyn std::fmt::Display| Failure::Broken(cause.to_string());
         loop {
-            match Response::parse(&mut socket.input, request.method, MAX_HEAD) {
+            match Response::parse(&mut socket.input, request.method, MAX_HEAD_BYTES) {
                 Ok(Some(head)) => {
                     let decoder = Decoder::new(head.framing);
                     let is_request_sent = output.is_empty();
@@ -126,42 +126,42 @@
         }
     }
 
-    fn take(&self, id: &Arc<str>, life: Duration, now: Instant) -> Option<Socket> {
+    fn take_idle(&self, id: &Arc<str>, max_idle: Duration, now: Instant) -> Option<Socket> {
         let mut idle = self.idle.borrow_mut();
         let kept = idle.get_mut(id)?;
         while let Some(mut candidate) = kept.pop() {
-            let is_young = now.since(candidate.since) < candidate.life.min(life);
-            if is_young && candidate.socket.is_quiet() {
+            let is_fresh = now.since(candidate.idle_since) < candidate.max_idle.min(max_idle);
+            if is_fresh && candidate.socket.is_quiet() {
                 return Some(candidate.socket);
             }
         }
         None
     }
 
-    fn give(&self, id: &Arc<str>, idle: Idle) {
+    fn put_idle(&self, id: &Arc<str>, idle: IdleConnection) {
         let mut all = self.idle.borrow_mut();
         let kept = all.entry(id.clone()).or_default();
-        if kept.len() >= IDLE_PER_UPSTREAM {
+        if kept.len() >= MAX_IDLE_PER_UPSTREAM {
             kept.remove(0);
         }
         kept.push(idle);
     }
 
-    /// Closes the connections to upstreams that are gone, and those that are idle for too long.
-    pub fn prune(&self, is_there: impl Fn(&str) -> bool, now: Instant) {
+    /// Closes connections to upstreams that are no longer listed, and those that were idle for too long.
+    pub fn prune(&self, is_listed: impl Fn(&str) -> bool, now: Instant) {
         self.idle.borrow_mut().retain(|id, kept| {
-            kept.retain(|idle| now.since(idle.since) < idle.life);
-            !kept.is_empty() && is_there(id)
+            kept.retain(|idle| now.since(idle.idle_since) < idle.max_idle);
+            !kept.is_empty() && is_listed(id)
         });
     }
 }
 
 impl Incoming {
-    /// Returns the next piece of the body, or `None` at its end.
+    /// Returns the next chunk of the body, or `None` at its end.
     ///
     /// # Errors
     ///
-    /// Fails if the body breaks off.
+    /// Fails if the body is truncated or malformed.
     pub async fn next(&mut self) -> Result<Option<Bytes>, Failure> {
         loop {
             match self.decoder.decode(&mut self.socket.input) {
@@ -183,27 +183,31 @@
     ///
     /// # Errors
     ///
-    /// Fails if the body breaks off or is longer than `limit` bytes.
+    /// Fails if the body is truncated, malformed or longer than `limit` bytes.
     pub async fn collect(&mut self, limit: usize) -> Result<Bytes, Failure> {
         let mut whole = Vec::new();
-        while let Some(piece) = self.next().await? {
-            if whole.len() + piece.len() > limit {
+        while let Some(chunk) = self.next().await? {
+            if whole.len() + chunk.len() > limit {
                 return Err(Failure::Broken(format!("longer than {limit} bytes")));
             }
-            whole.extend_from_slice(&piece);
+            whole.extend_from_slice(&chunk);
         }
         Ok(whole.into())
     }
 
-    /// Keeps the connection for the next request if nothing speaks against it.
+    /// Returns the connection to the pool if it can be reused: the request was sent in full, the
+    /// response was read in full with nothing after it, and the upstream keeps the connection open.
     pub fn release(self, connections: &Connections, now: Instant) {
         let is_clean = self.is_request_sent
             && self.decoder.is_done()
             && self.head.keeps_alive
             && self.socket.input.is_empty();
         if is_clean {
-            let life = kept_for(&self.head.headers);
-            connections.give(&self.target.id, Idle { socket: self.socket, since: now, life });
+            let max_idle = max_idle_from(&self.head.headers);
+            connections.put_idle(
+                &self.target.id,
+                IdleConnection { socket: self.socket, idle_since: now, max_idle },
+            );
         }
     }
 }
@@ -219,12 +223,14 @@
     output.into()
 }
 
-/// Returns how long a connection may be idle, from the `Keep-Alive` field.
-fn kept_for(headers: &HeaderMap) -> Duration {
+/// Returns how long a connection may stay idle in the pool, from the `Keep-Alive` field.
+fn max_idle_from(headers: &HeaderMap) -> Duration {
     let field = headers.get("keep-alive").and_then(|value| value.to_str().ok());
     let timeout = field.and_then(|text| {
         let mut pairs = text.split(',').filter_map(|pair| pair.trim().split_once('='));
         pairs.find(|(name, _)| name.eq_ignore_ascii_case("timeout"))?.1.parse::<u64>().ok()
     });
-    timeout.map_or(IDLE_LIFE, |seconds| Duration::from_secs(seconds).mul_f64(IDLE_SHARE))
+    timeout.map_or(DEFAULT_MAX_IDLE, |seconds| {
+        Duration::from_secs(seconds).mul_f64(KEEP_ALIVE_FRACTION)
+    })
 }
--- a/crates/orioleroute-node/src/gateway/forward.rs
+++ b/crates/orioleroute-node/src/gateway/forward.rs
@@ -1,4 +1,4 @@
-//! A client's request from its arrival to its one final answer.
+//! Forwards a client's request to upstreams and relays exactly one final response.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -16,63 +16,63 @@
 use slog::info;
 
 use super::exchange::{Failure, Incoming, Outgoing, Target};
-use super::front;
-use super::placing::{self, Need, Permit, Refusal};
+use super::placement::{self, Permit, PermitRequest, Refusal};
+use super::server;
 use super::state::Gateway;
 use super::stream;
 
-/// The longest answer that is not a stream, in bytes.
-const MAX_ANSWER: usize = 8 << 20;
+/// The largest body of a response that is not a stream, in bytes.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// Input that a client may send ahead while it waits, in bytes.
-const MAX_AHEAD: usize = 64 << 10;
+/// The largest pipelined input that is buffered while a client waits for its response, in bytes.
+const MAX_PIPELINED_BYTES: usize = 64 << 10;
 
-/// The longest wait for a client to take a part of its answer.
+/// The longest wait for a client to read one part of its response.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Upstreams that decline one request before it is refused.
+/// The number of upstreams that may decline one request before it is refused.
 const MAX_DECLINES: u32 = 3;
 
-/// The silence of a begun stream after which it goes on at another upstream, if it may: below the
-/// two seconds after which clients leave.
-const STREAM_SILENCE: Duration = Duration::from_millis(1_300);
+/// How long a started stream may be silent before it is resumed at another upstream, if its route
+/// permits. This is below the two seconds after which clients disconnect.
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_millis(1_300);
 
-/// When a client comes back that met an instance without a configuration, or one that stops.
-const ELSEWHERE_RETRY: Duration = Duration::from_millis(50);
+/// The retry-after time sent by an instance that has no configuration or is stopping.
+const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// When a client comes back whose request was declined by all upstreams that were tried.
-const DECLINED_RETRY: Duration = Duration::from_millis(250);
+/// The retry-after time of a request that every tried upstream declined.
+const DECLINED_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// The time that must have gone by since a client's first attempt for it to count as one that has
-/// come back: refusals name at least this time.
-const RETURN_AFTER: Duration = Duration::from_millis(80);
+/// The least time since a client's first attempt for the request to count as a retry after a refusal:
+/// refusals have at least this retry-after time.
+const MIN_RETURN_DELAY: Duration = Duration::from_millis(80);
 
-/// A request as it was read.
+/// A request as read from the client.
 pub struct Inbound {
     /// The head.
     pub head: Request,
     /// The body.
     pub body: Bytes,
-    /// When it was read.
+    /// When the head was read.
     pub arrived: Instant,
 }
 
-/// What becomes of the client's connection.
+/// What to do with the client's connection after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
-    /// It can carry the next request.
-    KeepOpen,
-    /// It has to be closed.
+pub enum Disposition {
+    /// Keep it open for the next request.
+    KeepAlive,
+    /// Close it.
     Close,
 }
 
-/// Answers one request.
-pub async fn answer(gateway: &Rc<Gateway>, client: &mut Socket, inbound: Inbound) -> Ending {
+/// Forwards one request and writes its response.
+pub async fn handle(gateway: &Rc<Gateway>, client: &mut Socket, inbound: Inbound) -> Disposition {
     let attempt = ingress::attempt(&inbound.head.headers);
     let Some(configuration) = gateway.configuration() else {
         return refuse_early(gateway, client, &attempt, "no configuration").await;
     };
-    if !gateway.is_taking() {
+    if !gateway.is_accepting() {
         return refuse_early(gateway, client, &attempt, "stopping").await;
     }
     let host = inbound.head.headers.get(header::HOST).and_then(|host| host.to_str().ok());
@@ -80,19 +80,19 @@
     let Some(route) = configuration.route(host, inbound.head.path()).cloned() else {
         info!(gateway.log, "no route"; "request" => attempt.id.as_deref(),
             "path" => &inbound.head.target, "version" => configuration.version);
-        return own_answer(gateway, client, StatusCode::NOT_FOUND, &attempt, None).await;
+        return respond_locally(gateway, client, StatusCode::NOT_FOUND, &attempt, None).await;
     };
     let Some(service) = route.service(attempt.id.as_deref().unwrap_or_default()).cloned() else {
-        return own_answer(gateway, client, StatusCode::NOT_FOUND, &attempt, None).await;
+        return respond_locally(gateway, client, StatusCode::NOT_FOUND, &attempt, None).await;
     };
-    let waits = attempt.time_left.unwrap_or(route.timeout).min(route.timeout);
-    let elapsed = attempt.time_left.map(|left| gateway.elapsed(&route.name, left));
+    let timeout = attempt.time_left.unwrap_or(route.timeout).min(route.timeout);
+    let elapsed = attempt.time_left.map(|left| gateway.elapsed_at_client(&route.name, left));
     let elapsed = elapsed.unwrap_or_default();
-    let has_engine = placing::has_engine(&configuration, &service);
+    let has_engine = placement::has_engine(&configuration, &service);
     gateway.earn_retry(&service);
     let mut relay = Relay {
         gateway,
-        limit: inbound.arrived + waits,
+        deadline: inbound.arrived + timeout,
         objective: inbound.arrived + route.objective.saturating_sub(elapsed),
         last_event: attempt.last_event,
         inbound,
@@ -101,83 +101,87 @@
         service,
         version: configuration.version,
         has_engine,
-        is_return: elapsed >= RETURN_AFTER,
-        sent: Cell::new(0),
+        is_return: elapsed >= MIN_RETURN_DELAY,
+        possible_runs: Cell::new(0),
         declines: 0,
         excluded: Vec::new(),
-        has_begun: false,
-        trail: Vec::new(),
+        has_started_response: false,
+        tried_upstreams: Vec::new(),
     };
-    let (ending, outcome) = relay.run(client).await;
+    let (disposition, outcome) = relay.run(client).await;
     relay.log(outcome);
-    ending
+    disposition
 }
 
-/// A request on its way to its answer.
+/// The state of one request while it is forwarded.
 struct Relay<'a> {
     gateway: &'a Rc<Gateway>,
     inbound: Inbound,
     attempt: Attempt,
     route: Arc<Route>,
     service: Arc<str>,
-    /// The version of the configuration that routed it.
+    /// The version of the configuration that routed the request.
     version: u64,
     has_engine: bool,
-    /// Whether the client was refused before and has come back.
+    /// Whether the client retries after a refusal.
     is_return: bool,
-    /// When it has its final answer at the latest.
-    limit: Instant,
-    /// When its answer is late.
+    /// When the final response is due at the latest.
+    deadline: Instant,
+    /// When the target latency of the response, or of its first event, is exceeded.
     objective: Instant,
-    /// The upstreams to which it was sent and that may have run it.
-    sent: Cell<u32>,
+    /// The number of upstreams that may have run the request.
+    possible_runs: Cell<u32>,
     declines: u32,
     excluded: Vec<Arc<str>>,
     last_event: Option<u64>,
-    /// Whether a part of the answer has been written.
-    has_begun: bool,
-    /// The upstreams that were tried, for the log.
-    trail: Vec<String>,
+    /// Whether a part of the response has been written.
+    has_started_response: bool,
+    /// The upstreams tried and how each try ended, for the log.
+    tried_upstreams: Vec<String>,
 }
 
-/// How one try ended.
-enum Try {
-    /// An answer is coming.
+/// The outcome of one try at an upstream.
+enum TryOutcome {
+    /// The head of the response has arrived.
     Answered(Permit, Box<Incoming>),
-    /// No upstream was found.
-    Unplaced(Refusal),
+    /// No permit was granted.
+    NoPermit(Refusal),
     /// The upstream did not run the request.
     NotRun(Permit, RunResult),
-    /// The upstream may have run the request, and its answer is lost.
+    /// The upstream may have run the request, but its response is lost.
     Lost(Permit, String),
 }
 
-/// How relaying an answer ended.
-enum Relayed {
-    /// The client has it.
+/// The outcome of relaying a response.
+enum RelayOutcome {
+    /// The response was written to the client.
     Done,
-    /// The client is gone.
-    Gone,
-    /// The time is over.
+    /// The client has disconnected.
+    ClientClosed,
+    /// The deadline has passed.
     TimedOut,
-    /// The upstream broke off.
+    /// The connection to the upstream ended early, or the stream was silent for too long.
     Lost(String),
 }
 
 impl Relay<'_> {
-    async fn run(&mut self, client: &mut Socket) -> (Ending, &'static str) {
+    async fn run(&mut self, client: &mut Socket) -> (Disposition, &'static str) {
         loop {
-            let remaining = self.limit.since(self.gateway.now());
+            let remaining = self.deadline.since(self.gateway.now());
             let tried = monoio::select! {
                 tried = self.try_once() => tried,
-                () = gone(client) => return (Ending::Close, "client gone"),
+                () = client_closed(client) => return (Disposition::Close, "client gone"),
                 () = monoio::time::sleep(remaining) => return self.time_out(client).await,
             };
             let next = match tried {
-                Try::Answered(permit, incoming) => self.pass_on(client, permit, *incoming).await,
-                Try::Unplaced(refusal) => Some(self.refuse(client, refusal).await),
-                Try::NotRun(permit, result) => self.declined(client, permit, result).await,
-                Try::Lost(permit, cause) => self.lost(client, permit, &cause).await,
+                TryOutcome::Answered(permit, incoming) => {
+                    self.relay_response(client, permit, *incoming).await
+                }
+                TryOutcome::NoPermit(refusal) => Some(self.refuse(client, refusal).await),
+                TryOutcome::NotRun(permit, result) => {
+                    self.handle_not_run(client, permit, result).await
+                }
+                TryOutcome::Lost(permit, cause) => self.handle_lost(client, permit, &cause).await,
             };
             if let Some(end) = next {
                 return end;
@@ -185,11 +189,11 @@
         }
     }
 
-    /// Finds an upstream, sends the request and waits for the head of an answer.
-    async fn try_once(&self) -> Try {
-        let permit = match self.find().await {
+    /// Acquires a permit, sends the request and waits for the head of the response.
+    async fn try_once(&self) -> TryOutcome {
+        let permit = match self.acquire_permit().await {
             Ok(permit) => permit,
-            Err(refusal) => return Try::Unplaced(refusal),
+            Err(refusal) => return TryOutcome::NoPermit(refusal),
         };
         let target = Target { id: permit.upstream.clone(), address: permit.address };
         let outgoing = Outgoing {
@@ -199,51 +203,51 @@
             body: &self.inbound.body,
             is_repeatable: self.route.is_repeatable(),
         };
-        self.sent.set(self.sent.get() + 1);
+        self.possible_runs.set(self.possible_runs.get() + 1);
         let now = self.gateway.now();
         match self.gateway.connections.send(&target, outgoing, now).await {
-            Ok(incoming) => self.judge(permit, incoming),
+            Ok(incoming) => self.classify(permit, incoming),
             Err(Failure::Unreachable(_)) => {
-                self.sent.set(self.sent.get() - 1);
-                Try::NotRun(permit, RunResult::Unreachable)
+                self.possible_runs.set(self.possible_runs.get() - 1);
+                TryOutcome::NotRun(permit, RunResult::Unreachable)
             }
-            Err(Failure::Broken(cause)) => Try::Lost(permit, cause),
+            Err(Failure::Broken(cause)) => TryOutcome::Lost(permit, cause),
         }
     }
 
-    fn judge(&self, permit: Permit, incoming: Incoming) -> Try {
+    fn classify(&self, permit: Permit, incoming: Incoming) -> TryOutcome {
         let id = self.attempt.id.as_deref();
         let verdict = ingress::verdict(incoming.head.status, &incoming.head.headers, id);
         match verdict {
-            Verdict::Answer => Try::Answered(permit, Box::new(incoming)),
-            Verdict::Foreign => Try::Lost(permit, "an answer to another request".into()),
+            Verdict::Answer => TryOutcome::Answered(permit, Box::new(incoming)),
+            Verdict::Foreign => TryOutcome::Lost(permit, "an answer to another request".into()),
             Verdict::NotRun | Verdict::Misdirected => {
-                self.sent.set(self.sent.get() - 1);
+                self.possible_runs.set(self.possible_runs.get() - 1);
                 let result = match verdict {
                     Verdict::Misdirected => RunResult::Misdirected,
                     _ => RunResult::Declined,
                 };
-                Try::NotRun(permit, result)
+                TryOutcome::NotRun(permit, result)
             }
         }
     }
 
-    async fn find(&self) -> Result<Permit, Refusal> {
+    async fn acquire_permit(&self) -> Result<Permit, Refusal> {
         match &self.attempt.generation {
             Some(generation) if self.has_engine => {
-                let need = Need {
+                let request = PermitRequest {
                     service: &self.service,
                     generation,
                     priority: self.route.priority,
-                    deadline: self.limit,
+                    deadline: self.deadline,
                     objective: self.objective,
                     excluded: &self.excluded,
                     attempt: self.attempt.id.as_ref(),
                     is_return: self.is_return,
                 };
-                placing::find(self.gateway, &need).await
+                placement::acquire(self.gateway, &request).await
             }
-            _ => placing::plain(self.gateway, &self.service, &self.excluded),
+            _ => placement::acquire_plain(self.gateway, &self.service, &self.excluded),
         }
     }
 
@@ -253,7 +257,7 @@
         ingress::strip_reserved(&mut headers);
         let dispatch = Dispatch {
             upstream: permit.upstream.clone(),
-            time_left: self.limit.since(self.gateway.now()),
+            time_left: self.deadline.since(self.gateway.now()),
             adapter_version: permit.version,
             priority: self.has_engine.then_some(self.route.priority.min(MAX_PRIORITY)),
             last_event: self.last_event,
@@ -262,18 +266,18 @@
         headers
     }
 
-    /// Passes an answer on, and returns the end of the request unless it has to be tried again.
-    async fn pass_on(
+    /// Relays a response. Returns `None` if the request has to be tried again, else its outcome.
+    async fn relay_response(
         &mut self,
         client: &mut Socket,
         permit: Permit,
         mut incoming: Incoming,
-    ) -> Option<(Ending, &'static str)> {
-        self.trail.push(format!("{} {}", permit.upstream, incoming.head.status.as_u16()));
+    ) -> Option<(Disposition, &'static str)> {
+        self.tried_upstreams.push(format!("{} {}", permit.upstream, incoming.head.status.as_u16()));
         let status = incoming.head.status;
-        if status.is_server_error() && self.may_repeat() {
+        if status.is_server_error() && self.may_retry() {
             permit.end(RunResult::Erred);
-            self.has_retried();
+            self.observe_retry();
             return None;
         }
         let is_stream = status.is_success() && stream::is_event_stream(&incoming.head.headers);
@@ -282,75 +286,75 @@
             false => self.relay_whole(client, &mut incoming).await,
         };
         match relayed {
-            Relayed::Done => {
+            RelayOutcome::Done => {
                 permit.end(match status.is_server_error() {
                     true => RunResult::Erred,
                     false => RunResult::Answered,
                 });
                 incoming.release(&self.gateway.connections, self.gateway.now());
-                Some((self.keep_open(), "answered"))
+                Some((self.disposition(), "answered"))
             }
-            Relayed::Gone => {
+            RelayOutcome::ClientClosed => {
                 permit.end(RunResult::Abandoned);
-                Some((Ending::Close, "client gone"))
+                Some((Disposition::Close, "client gone"))
             }
-            Relayed::TimedOut => {
+            RelayOutcome::TimedOut => {
                 permit.end(RunResult::Abandoned);
                 Some(self.time_out(client).await)
             }
-            Relayed::Lost(cause) => self.lost(client, permit, &cause).await,
+            RelayOutcome::Lost(cause) => self.handle_lost(client, permit, &cause).await,
         }
     }
 
-    async fn relay_whole(&mut self, client: &mut Socket, incoming: &mut Incoming) -> Relayed {
-        let remaining = self.limit.since(self.gateway.now());
+    async fn relay_whole(&mut self, client: &mut Socket, incoming: &mut Incoming) -> RelayOutcome {
+        let remaining = self.deadline.since(self.gateway.now());
         let collected = monoio::select! {
-            collected = incoming.collect(MAX_ANSWER) => collected,
-            () = gone(client) => return Relayed::Gone,
-            () = monoio::time::sleep(remaining) => return Relayed::TimedOut,
+            collected = incoming.collect(MAX_RESPONSE_BYTES) => collected,
+            () = client_closed(client) => return RelayOutcome::ClientClosed,
+            () = monoio::time::sleep(remaining) => return RelayOutcome::TimedOut,
         };
         let body = match collected {
             Ok(body) => body,
-            Err(failure) => return Relayed::Lost(failure.to_string()),
+            Err(failure) => return RelayOutcome::Lost(failure.to_string()),
         };
-        let mut output = self.answer_head(incoming);
+        let mut output = self.response_head(incoming);
         head::write_field(&mut output, "content-length", body.len().to_string());
         output.extend_from_slice(b"\r\n");
         output.extend_from_slice(&body);
         self.write(client, &output).await
     }
 
-    /// Passes a stream on, whole events only, so that another upstream can go on where one ends.
+    /// Relays a stream in whole events, so that another upstream can resume it after the last one.
     async fn relay_stream(
         &mut self,
         client: &mut Socket,
         permit: &Permit,
         incoming: &mut Incoming,
-    ) -> Relayed {
+    ) -> RelayOutcome {
         let mut pending = BytesMut::new();
         loop {
             let now = self.gateway.now();
-            let remaining = self.limit.since(now);
-            let silence = match self.has_begun && self.route.is_resumable {
-                true => STREAM_SILENCE,
+            let remaining = self.deadline.since(now);
+            let idle_timeout = match self.has_started_response && self.route.is_resumable {
+                true => STREAM_IDLE_TIMEOUT,
                 false => remaining,
             };
-            let piece = monoio::select! {
-                piece = incoming.next() => piece,
-                () = gone(client) => return Relayed::Gone,
-                () = monoio::time::sleep(remaining.min(silence)) => {
-                    return match remaining <= silence {
-                        true => Relayed::TimedOut,
-                        false => Relayed::Lost("silent".into()),
+            let chunk = monoio::select! {
+                chunk = incoming.next() => chunk,
+                () = client_closed(client) => return RelayOutcome::ClientClosed,
+                () = monoio::time::sleep(remaining.min(idle_timeout)) => {
+                    return match remaining <= idle_timeout {
+                        true => RelayOutcome::TimedOut,
+                        false => RelayOutcome::Lost("silent".into()),
                     };
                 }
             };
-            let piece = match piece {
-                Ok(piece) => piece,
-                Err(failure) => return Relayed::Lost(failure.to_string()),
+            let chunk = match chunk {
+                Ok(chunk) => chunk,
+                Err(failure) => return RelayOutcome::Lost(failure.to_string()),
             };
-            let is_end = piece.is_none();
-            pending.extend_from_slice(&piece.unwrap_or_default());
+            let is_end = chunk.is_none();
+            pending.extend_from_slice(&chunk.unwrap_or_default());
             let events = match is_end {
                 true => pending.split(),
                 false => self.take_events(&mut pending),
@@ -359,12 +363,12 @@
                 continue;
             }
             let mut output = Vec::new();
-            if !self.has_begun {
-                output = self.answer_head(incoming);
+            if !self.has_started_response {
+                output = self.response_head(incoming);
                 head::write_field(&mut output, "transfer-encoding", "chunked");
                 output.extend_from_slice(b"\r\n");
-                self.has_begun = true;
-                permit.started();
+                self.has_started_response = true;
+                permit.send_started();
                 self.observe_first_event();
             }
             body::write_chunk(&mut output, &events);
@@ -372,13 +376,14 @@
                 output.extend_from_slice(body::LAST_CHUNK);
             }
             match self.write(client, &output).await {
-                Relayed::Done if !is_end => {}
+                RelayOutcome::Done if !is_end => {}
                 end => return end,
             }
         }
     }
 
-    /// Takes the whole events off the front of `pending`, without those that the client has.
+    /// Removes the complete events from the front of `pending`, and returns those that the client has
+    /// not received yet.
     fn take_events(&mut self, pending: &mut BytesMut) -> BytesMut {
         let mut events = BytesMut::new();
         while let Some(length) = stream::event_length(pending) {
@@ -393,7 +398,7 @@
         events
     }
 
-    fn answer_head(&self, incoming: &Incoming) -> Vec<u8> {
+    fn response_head(&self, incoming: &Incoming) -> Vec<u8> {
         let mut headers = incoming.head.headers.clone();
         head::strip_connection_fields(&mut headers);
         let mut output = Vec::with_capacity(512);
@@ -404,75 +409,77 @@
         output
     }
 
-    async fn write(&self, client: &mut Socket, output: &[u8]) -> Relayed {
+    async fn write(&self, client: &mut Socket, output: &[u8]) -> RelayOutcome {
         match monoio::time::timeout(WRITE_TIMEOUT, client.write(output)).await {
-            Ok(Ok(())) => Relayed::Done,
-            _ => Relayed::Gone,
+            Ok(Ok(())) => RelayOutcome::Done,
+            _ => RelayOutcome::ClientClosed,
         }
     }
 
-    /// Takes note that an upstream did not run the request.
-    async fn declined(
+    /// Handles an upstream that did not run the request. Returns `None` if another is to be tried.
+    async fn handle_not_run(
         &mut self,
         client: &mut Socket,
         permit: Permit,
         result: RunResult,
-    ) -> Option<(Ending, &'static str)> {
-        self.trail.push(format!("{} {result:?}", permit.upstream));
+    ) -> Option<(Disposition, &'static str)> {
+        self.tried_upstreams.push(format!("{} {result:?}", permit.upstream));
         self.excluded.push(permit.upstream.clone());
         permit.end(result);
         self.declines += 1;
-        let is_free = result == RunResult::Unreachable;
-        let may_go_on =
-            self.declines < MAX_DECLINES && (is_free || self.gateway.spend_retry(&self.service));
-        if may_go_on {
+        let is_unreachable = result == RunResult::Unreachable;
+        let may_try_again = self.declines < MAX_DECLINES
+            && (is_unreachable || self.gateway.spend_retry(&self.service));
+        if may_try_again {
             return None;
         }
-        if self.has_begun {
-            return Some((Ending::Close, "stream not resumed"));
+        if self.has_started_response {
+            return Some((Disposition::Close, "stream not resumed"));
         }
-        if self.sent.get() > 0 {
+        if self.possible_runs.get() > 0 {
             return Some(self.fail(client, StatusCode::BAD_GATEWAY, "declined after a try").await);
         }
-        let refusal = Refusal { reason: Reason::NoEngine, retry_after: DECLINED_RETRY };
+        let refusal = Refusal { reason: Reason::NoEngine, retry_after: DECLINED_RETRY_AFTER };
         Some(self.refuse(client, refusal).await)
     }
 
-    /// Takes note that an answer is lost, after which the request may have run.
-    async fn lost(
+    /// Handles a lost response, after which the request may have run. Returns `None` if the request is
+    /// to be retried.
+    async fn handle_lost(
         &mut self,
         client: &mut Socket,
         permit: Permit,
         cause: &str,
-    ) -> Option<(Ending, &'static str)> {
-        self.trail.push(format!("{} lost: {cause}", permit.upstream));
+    ) -> Option<(Disposition, &'static str)> {
+        self.tried_upstreams.push(format!("{} lost: {cause}", permit.upstream));
         let upstream = permit.upstream.clone();
         permit.end(RunResult::Broken);
-        if self.may_repeat() {
+        if self.may_retry() {
             self.excluded.push(upstream);
-            self.has_retried();
+            self.observe_retry();
             return None;
         }
         Some(self.fail(client, StatusCode::BAD_GATEWAY, "answer lost").await)
     }
 
-    /// Returns whether the request may be sent to another upstream although one may have run it.
-    fn may_repeat(&self) -> bool {
+    /// Returns whether the request may be sent to another upstream although one may have run it. If so,
+    /// takes a retry from the budget.
+    fn may_retry(&self) -> bool {
         self.route.is_repeatable()
-            && self.sent.get() < self.route.attempts
-            && self.limit > self.gateway.now()
+            && self.possible_runs.get() < self.route.attempts
+            && self.deadline > self.gateway.now()
             && self.gateway.spend_retry(&self.service)
     }
 
-    fn has_retried(&self) {
+    fn observe_retry(&self) {
         metrics::counter!("orioleroute_retries_total").increment(1);
     }
 
-    async fn refuse(&self, client: &mut Socket, refusal: Refusal) -> (Ending, &'static str) {
-        if self.has_begun {
-            return (Ending::Close, "stream not resumed");
+    async fn refuse(&self, client: &mut Socket, refusal: Refusal) -> (Disposition, &'static str) {
+        if self.has_started_response {
+            return (Disposition::Close, "stream not resumed");
         }
-        if self.sent.get() > 0 {
+        if self.possible_runs.get() > 0 {
             return self.fail(client, StatusCode::BAD_GATEWAY, "not placed again").await;
         }
         info!(self.gateway.log, "refused"; "request" => self.attempt.id.as_deref(),
@@ -482,7 +489,7 @@
             .increment(1);
         let status = StatusCode::SERVICE_UNAVAILABLE;
         let retry_after = Some(refusal.retry_after);
-        (own_answer(self.gateway, client, status, &self.attempt, retry_after).await, "refused")
+        (respond_locally(self.gateway, client, status, &self.attempt, retry_after).await, "refused")
     }
 
     async fn fail(
@@ -490,16 +497,16 @@
         client: &mut Socket,
         status: StatusCode,
         outcome: &'static str,
-    ) -> (Ending, &'static str) {
-        if self.has_begun {
-            return (Ending::Close, outcome);
+    ) -> (Disposition, &'static str) {
+        if self.has_started_response {
+            return (Disposition::Close, outcome);
         }
-        (own_answer(self.gateway, client, status, &self.attempt, None).await, outcome)
+        (respond_locally(self.gateway, client, status, &self.attempt, None).await, outcome)
     }
 
-    /// Gives the final answer at the end of the time.
-    async fn time_out(&self, client: &mut Socket) -> (Ending, &'static str) {
-        match self.sent.get() {
+    /// Writes the final response after the deadline.
+    async fn time_out(&self, client: &mut Socket) -> (Disposition, &'static str) {
+        match self.possible_runs.get() {
             0 => {
                 let refusal = Refusal { reason: Reason::TooLate, retry_after: Duration::ZERO };
                 self.refuse(client, refusal).await
@@ -508,10 +515,10 @@
         }
     }
 
-    fn keep_open(&self) -> Ending {
+    fn disposition(&self) -> Disposition {
         match self.gateway.is_stopping() {
-            true => Ending::Close,
-            false => Ending::KeepOpen,
+            true => Disposition::Close,
+            false => Disposition::KeepAlive,
         }
     }
 
@@ -526,12 +533,12 @@
         metrics::histogram!("orioleroute_request_duration_seconds").record(time.as_secs_f64());
         info!(self.gateway.log, "request"; "request" => self.attempt.id.as_deref(),
             "route" => &*self.route.name, "service" => &*self.service,
-            "version" => self.version, "upstreams" => self.trail.join(", "),
+            "version" => self.version, "upstreams" => self.tried_upstreams.join(", "),
             "outcome" => outcome, "ms" => time.as_millis() as u64);
     }
 }
 
-/// The least urgent rank that an upstream knows.
+/// The least urgent priority that upstreams accept.
 const MAX_PRIORITY: u8 = 9;
 
 async fn refuse_early(
@@ -539,30 +546,31 @@
     client: &mut Socket,
     attempt: &Attempt,
     reason: &'static str,
-) -> Ending {
+) -> Disposition {
     info!(gateway.log, "refused"; "request" => attempt.id.as_deref(), "reason" => reason);
     let status = StatusCode::SERVICE_UNAVAILABLE;
-    own_answer(gateway, client, status, attempt, Some(ELSEWHERE_RETRY)).await
+    respond_locally(gateway, client, status, attempt, Some(UNAVAILABLE_RETRY_AFTER)).await
 }
 
-async fn own_answer(
+async fn respond_locally(
     gateway: &Rc<Gateway>,
     client: &mut Socket,
     status: StatusCode,
     attempt: &Attempt,
     retry_after: Option<Duration>,
-) -> Ending {
+) -> Disposition {
     let closes = gateway.is_stopping();
-    let written = front::respond(client, status, attempt.id.as_deref(), retry_after, closes).await;
+    let written = server::respond(client, status, attempt.id.as_deref(), retry_after, closes).await;
     match written.is_err() || closes {
-        true => Ending::Close,
-        false => Ending::KeepOpen,
+        true => Disposition::Close,
+        false => Disposition::KeepAlive,
     }
 }
 
-/// Completes once the client has closed its connection.
-async fn gone(client: &mut Socket) {
-    while client.input.len() <= MAX_AHEAD {
+/// Completes once the client has closed its connection. Stops reading once more than
+/// [`MAX_PIPELINED_BYTES`] are buffered, and then never completes.
+async fn client_closed(client: &mut Socket) {
+    while client.input.len() <= MAX_PIPELINED_BYTES {
         match client.fill().await {
             Ok(read) if read > 0 => {}
             _ => return,
--- a/crates/orioleroute-node/src/gateway/heartbeat.rs
+++ b/crates/orioleroute-node/src/gateway/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between instances, as datagrams.
+//! Heartbeats between instances, sent as UDP datagrams.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -9,20 +9,20 @@
 
 use super::state::Gateway;
 
-/// The longest heartbeat, in bytes.
-const MAX_HEARTBEAT: usize = 512;
+/// The largest heartbeat datagram, in bytes.
+const MAX_HEARTBEAT_BYTES: usize = 512;
 
 /// Sends and receives heartbeats, forever.
 pub async fn run(gateway: Rc<Gateway>, socket: UdpSocket) {
     let socket = Rc::new(socket);
     monoio::spawn(send(gateway.clone(), socket.clone()));
     loop {
-        let (received, buffer) = socket.recv_from(vec![0_u8; MAX_HEARTBEAT]).await;
+        let (received, buffer) = socket.recv_from(vec![0_u8; MAX_HEARTBEAT_BYTES]).await;
         let Ok((length, peer)) = received else { continue };
         match serde_json::from_slice::<Heartbeat>(&buffer[..length]) {
             Ok(heartbeat) => gateway.roster().hear(&heartbeat, gateway.now()),
             Err(error) => {
-                debug!(gateway.log, "datagram unreadable"; "peer" => peer.to_string(),
+                debug!(gateway.log, "unreadable heartbeat"; "peer" => peer.to_string(),
                     "error" => error.to_string());
             }
         }
@@ -35,17 +35,17 @@
         round = round.wrapping_add(1);
         let heartbeat = gateway.roster().heartbeat();
         let bytes = serde_json::to_vec(&heartbeat).unwrap_or_default();
-        for address in due(&gateway, round) {
-            // A datagram that cannot be sent is like one that is lost: the next one follows.
+        for address in due_addresses(&gateway, round) {
+            // A failed send is treated like a lost datagram: the next heartbeat follows.
             let _ = socket.send_to(bytes.clone(), address).await;
         }
         monoio::time::sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
-/// Returns where heartbeats go in this round.
-fn due(gateway: &Gateway, round: u32) -> Vec<SocketAddr> {
+/// Returns the addresses of the peers that get a heartbeat in this round.
+fn due_addresses(gateway: &Gateway, round: u32) -> Vec<SocketAddr> {
     let roster = gateway.roster();
-    let due = roster.peers().filter(|peer| round.is_multiple_of(roster.intervals(peer)));
-    due.map(|peer| peer.peer_address).collect()
+    let due_peers = roster.peers().filter(|peer| round.is_multiple_of(roster.intervals(peer)));
+    due_peers.map(|peer| peer.peer_address).collect()
 }
--- a/crates/orioleroute-node/src/gateway/leadership.rs
+++ b/crates/orioleroute-node/src/gateway/leadership.rs
@@ -1,8 +1,9 @@
-//! The part of an instance that schedules availability zones.
+//! Runs the schedulers of the availability zones that this instance leads.
 //!
-//! A row in the store names the scheduler of each zone; its version is the fencing token. The row
-//! is written only when the scheduler changes: that it lives shows in its heartbeats, so neither
-//! renewals nor an outage of the store get in the way. See `docs/PLATFORM.md`, section "Scheduler".
+//! A row in the store names the scheduler of each zone; the version of the row is the fencing token.
+//! The row is written only when the scheduler changes. Heartbeats show whether the scheduler is alive,
+//! so there are no renewals, and an outage of the store does not interrupt scheduling. See
+//! `docs/PLATFORM.md`, section "Scheduler".
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -22,95 +23,100 @@
 use super::state::Gateway;
 use super::{election, link};
 
-/// How often elections are considered.
-pub const REVIEW_INTERVAL: Duration = Duration::from_millis(250);
+/// How often elections are run.
+pub const ELECTION_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The longest sleep of the loop that lets the schedulers' time pass.
-const TICK: Duration = Duration::from_millis(100);
+/// The longest sleep between two ticks of the schedulers.
+const MAX_TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The shortest one, so that a load that is overdue does not keep the processor busy.
-const SHORTEST_TICK: Duration = Duration::from_millis(5);
+/// The shortest sleep between two ticks, so that an overdue load does not make the loop spin.
+const MIN_TICK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The longest wait for the answer to an order or a report: ten round trips between regions.
+/// The longest wait for the response to an order or to a report request: ten round trips between
+/// regions.
 const ENGINE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How much the clock that counts suspension may run ahead before the process counts as frozen.
-const FREEZE_MARGIN: Duration = Duration::from_millis(200);
+/// How much `CLOCK_BOOTTIME` may advance beyond `CLOCK_MONOTONIC` between two checks before the process
+/// counts as suspended in between.
+const SUSPENSION_TOLERANCE: Duration = Duration::from_millis(200);
 
-/// The connection of this instance to its own schedulers.
-pub const LOCAL: Client = Client(0);
+/// The client id of this instance at its own schedulers.
+pub const LOCAL_CLIENT: Client = Client(0);
 
-/// Who schedules an availability zone.
+/// The instance that schedules an availability zone.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Leader {
-    /// The instance.
+    /// The name of the instance.
     pub holder: Arc<str>,
-    /// Its start.
+    /// The incarnation of the instance, which distinguishes its restarts.
     pub incarnation: u64,
 }
 
-/// The leaders as the store has them, and the schedulers that run here.
+/// The leaders as last read from the store, and the schedulers that run in this process.
 #[derive(Default)]
 pub struct Leadership {
-    leaders: RefCell<Map<Arc<str>, Entry>>,
+    leaders: RefCell<Map<Arc<str>, LeaderEntry>>,
     schedulers: RefCell<Map<Arc<str>, Scheduler>>,
-    /// What the elections remember.
+    /// The timers of the elections.
     pub timers: election::Timers,
-    /// Set while this process has been frozen and has not read the store since.
+    /// Set from the detection of a suspension of this process until the leaders are read from the
+    /// store again; no orders are sent meanwhile.
     is_suspended: Cell<bool>,
-    suspension: Cell<Option<Duration>>,
+    /// The total time that the system has been suspended, as of the last check.
+    total_suspension: Cell<Option<Duration>>,
 }
 
 #[derive(Clone, Debug)]
-struct Entry {
+struct LeaderEntry {
     leader: Option<Leader>,
     version: u64,
 }
 
 impl Leadership {
-    /// Takes a configuration into force.
+    /// Passes a new configuration to the schedulers.
     pub fn configure(&self, configuration: &Arc<Configuration>) {
         for scheduler in self.schedulers.borrow_mut().values_mut() {
             scheduler.configure(configuration.clone());
         }
     }
 
-    /// Takes note of a newer version of an adapter.
-    pub fn announce(&self, announcement: &Announcement) {
+    /// Passes the announcement of an adapter version to the schedulers.
+    pub fn record_announcement(&self, announcement: &Announcement) {
         for scheduler in self.schedulers.borrow_mut().values_mut() {
             scheduler.announce(announcement);
         }
     }
 
-    /// Forgets who schedules what, before the table is read anew.
-    pub fn forget_leaders(&self) {
+    /// Clears the leaders, before those of a complete read of the table are set, and ends the suspension
+    /// of orders.
+    pub fn clear_leaders(&self) {
         self.leaders.borrow_mut().clear();
         self.is_suspended.set(false);
     }
 
-    /// Takes note of who schedules a zone.
-    pub fn occupy(&self, zone: &str, leader: Leader, version: u64) {
-        self.write(zone, Entry { leader: Some(leader), version });
+    /// Sets the leader of a zone, unless the known version of its row is at least as new.
+    pub fn set_leader(&self, zone: &str, leader: Leader, version: u64) {
+        self.update_entry(zone, LeaderEntry { leader: Some(leader), version });
     }
 
-    /// Takes note that nobody schedules a zone.
-    pub fn vacate(&self, zone: &str, version: u64) {
-        self.write(zone, Entry { leader: None, version });
+    /// Records that a zone has no leader, unless the known version of its row is at least as new.
+    pub fn clear_leader(&self, zone: &str, version: u64) {
+        self.update_entry(zone, LeaderEntry { leader: None, version });
     }
 
-    /// Returns who schedules a zone.
+    /// Returns the leader of a zone, if it has one.
     pub fn leader(&self, zone: &str) -> Option<Leader> {
         self.leaders.borrow().get(zone)?.leader.clone()
     }
 
-    /// Returns the zones that have a scheduler.
-    pub fn zones(&self) -> Vec<Arc<str>> {
+    /// Returns the zones that have a leader.
+    pub fn led_zones(&self) -> Vec<Arc<str>> {
         let leaders = self.leaders.borrow();
         let occupied = leaders.iter().filter(|(_, entry)| entry.leader.is_some());
         occupied.map(|(zone, _)| zone.clone()).collect()
     }
 
-    /// Returns the version that the row of a zone's scheduler must have to be written anew, 0 for none.
+    /// Returns the version at which the leader row of a zone can be overwritten, or 0 if it has none.
     pub fn row_version(&self, zone: &str) -> u64 {
         let leaders = self.leaders.borrow();
         let entry = leaders.get(zone).filter(|entry| entry.leader.is_some());
@@ -118,21 +124,21 @@
     }
 
     /// Returns the zones that this instance schedules.
-    pub fn held(&self) -> Vec<Arc<str>> {
+    pub fn scheduled_zones(&self) -> Vec<Arc<str>> {
         self.schedulers.borrow().keys().cloned().collect()
     }
 
-    /// Returns the fencing token under which this instance schedules a zone, if it does.
-    pub fn fencing(&self, zone: &str) -> Option<u64> {
+    /// Returns the fencing token with which this instance schedules a zone, if it does.
+    pub fn fencing_token(&self, zone: &str) -> Option<u64> {
         self.schedulers.borrow().get(zone).map(Scheduler::fencing)
     }
 
-    /// Lets orders go out again after the leaders have been read.
-    pub fn resume(&self) {
+    /// Permits orders again, once the leaders have been read from the store.
+    pub fn resume_orders(&self) {
         self.is_suspended.set(false);
     }
 
-    fn write(&self, zone: &str, entry: Entry) {
+    fn update_entry(&self, zone: &str, entry: LeaderEntry) {
         let mut leaders = self.leaders.borrow_mut();
         match leaders.get_mut(zone) {
             Some(known) if known.version >= entry.version => {}
@@ -143,52 +149,52 @@
         }
     }
 
-    /// Notices that the process was suspended since the last call.
-    fn was_frozen(&self) -> bool {
+    /// Returns whether the process was suspended since the last call.
+    fn was_suspended(&self) -> bool {
         let clocks =
             (clock_gettime(ClockId::CLOCK_BOOTTIME), clock_gettime(ClockId::CLOCK_MONOTONIC));
         let (Ok(total), Ok(running)) = clocks else { return false };
         let suspended = Duration::from(total).saturating_sub(Duration::from(running));
-        let before = self.suspension.replace(Some(suspended));
-        before.is_some_and(|before| suspended > before + FREEZE_MARGIN)
+        let previous = self.total_suspension.replace(Some(suspended));
+        previous.is_some_and(|previous| suspended > previous + SUSPENSION_TOLERANCE)
     }
 }
 
-/// Lets the schedulers' time pass and considers elections, forever.
+/// Ticks the schedulers and runs elections, forever.
 pub async fn run(gateway: Rc<Gateway>) {
-    let mut review_at = Instant::ZERO;
+    let mut next_election = Instant::ZERO;
     loop {
-        if gateway.leadership.was_frozen() {
-            warn!(gateway.log, "process was frozen, orders wait for the store");
+        if gateway.leadership.was_suspended() {
+            warn!(gateway.log, "process was suspended, orders held until the leaders are read");
             gateway.leadership.is_suspended.set(true);
             monoio::spawn(election::read_leaders(gateway.clone()));
         }
         let now = gateway.now();
         tick(&gateway);
-        if now >= review_at {
-            review_at = now + REVIEW_INTERVAL;
+        if now >= next_election {
+            next_election = now + ELECTION_INTERVAL;
             if gateway.registry().expire(now) {
-                list(&gateway);
+                update_engines(&gateway);
             }
             election::elect(&gateway);
             let registry = gateway.registry();
-            let is_there = |id: &str| registry.get(id).is_some();
-            gateway.connections.prune(is_there, now);
-            gateway.health().retain(|id, health| is_there(id) || health.outstanding() > 0);
+            let is_listed = |id: &str| registry.get(id).is_some();
+            gateway.connections.prune(is_listed, now);
+            gateway.health().retain(|id, health| is_listed(id) || health.outstanding() > 0);
         }
         let next =
             gateway.leadership.schedulers.borrow().values().filter_map(Scheduler::next_check).min();
-        let wait = next.map_or(TICK, |next| next.since(gateway.now()));
-        monoio::time::sleep(wait.clamp(SHORTEST_TICK, TICK)).await;
+        let wait = next.map_or(MAX_TICK_INTERVAL, |next| next.since(gateway.now()));
+        monoio::time::sleep(wait.clamp(MIN_TICK_INTERVAL, MAX_TICK_INTERVAL)).await;
     }
 }
 
-/// Starts and ends schedulers as the leaders say.
-pub fn review(gateway: &Rc<Gateway>) {
+/// Starts and stops schedulers to match the leaders, then runs elections.
+pub fn reconcile(gateway: &Rc<Gateway>) {
     let own = gateway.roster().own().clone();
     let leaders = gateway.leadership.leaders.borrow().clone();
-    let mut ended = Vec::new();
-    let mut begun = false;
+    let mut stopped = Vec::new();
+    let mut has_started = false;
     for (zone, entry) in leaders {
         let is_own = entry.leader.as_ref().is_some_and(|leader| {
             leader.holder == own.name && leader.incarnation == own.incarnation
@@ -203,28 +209,28 @@
                 gateway.announcements().iter().for_each(|each| scheduler.announce(each));
                 info!(gateway.log, "scheduling begins"; "zone" => &*zone, "fencing" => entry.version);
                 schedulers.insert(zone, scheduler);
-                begun = true;
+                has_started = true;
             }
             (false, Some(fencing)) => {
                 info!(gateway.log, "scheduling ends"; "zone" => &*zone, "fencing" => fencing,
                     "successor" => entry.leader.map(|leader| leader.holder.to_string()));
-                ended.extend(schedulers.remove(&zone));
+                stopped.extend(schedulers.remove(&zone));
             }
             (false, None) => {}
         }
     }
-    for mut scheduler in ended {
+    for mut scheduler in stopped {
         scheduler.abandon();
-        carry_out(gateway, None, scheduler.take_outputs());
+        apply_outputs(gateway, None, scheduler.take_outputs());
     }
-    if begun {
-        list(gateway);
+    if has_started {
+        update_engines(gateway);
     }
     election::elect(gateway);
 }
 
-/// Tells the schedulers which engines there are.
-pub fn list(gateway: &Rc<Gateway>) {
+/// Passes the listed engines of each zone to its scheduler.
+pub fn update_engines(gateway: &Rc<Gateway>) {
     let Some(configuration) = gateway.configuration() else { return };
     let engines: Vec<Description> = {
         let registry = gateway.registry();
@@ -236,10 +242,10 @@
     });
 }
 
-/// Takes a message of an instance.
-pub fn receive(gateway: &Rc<Gateway>, client: Client, message: ToScheduler) {
+/// Handles a message from an instance.
+pub fn handle_message(gateway: &Rc<Gateway>, client: Client, message: ToScheduler) {
     match message {
-        ToScheduler::Place(placement) => place(gateway, client, *placement),
+        ToScheduler::Place(placement) => handle_place(gateway, client, *placement),
         ToScheduler::Started { ticket } => {
             let key = RequestKey { client, ticket };
             with_schedulers(gateway, |_, scheduler, now| scheduler.started(key, now));
@@ -253,12 +259,12 @@
     }
 }
 
-/// Takes note that an instance's connection is gone.
-pub fn disconnected(gateway: &Rc<Gateway>, client: Client) {
+/// Handles the end of an instance's connection.
+pub fn handle_disconnect(gateway: &Rc<Gateway>, client: Client) {
     with_schedulers(gateway, |_, scheduler, now| scheduler.disconnected(client, now));
 }
 
-fn place(gateway: &Rc<Gateway>, client: Client, placement: Placement) {
+fn handle_place(gateway: &Rc<Gateway>, client: Client, placement: Placement) {
     let now = gateway.now();
     let ticket = placement.ticket;
     let zone = placement.zone.clone();
@@ -270,10 +276,14 @@
         })
     };
     match outputs {
-        Some(outputs) => carry_out(gateway, Some(&zone), outputs),
+        Some(outputs) => apply_outputs(gateway, Some(&zone), outputs),
         None => {
             let reason = Reason::NotScheduler;
-            link::tell(gateway, client, ToInstance::Refuse { ticket, retry_after_ms: 0, reason });
+            link::send_to_instance(
+                gateway,
+                client,
+                ToInstance::Refuse { ticket, retry_after_ms: 0, reason },
+            );
         }
     }
 }
@@ -290,20 +300,20 @@
         all.push((zone.clone(), scheduler.take_outputs()));
     }
     for (zone, outputs) in all {
-        carry_out(gateway, Some(&zone), outputs);
+        apply_outputs(gateway, Some(&zone), outputs);
     }
 }
 
-fn carry_out(gateway: &Rc<Gateway>, zone: Option<&Arc<str>>, outputs: Vec<Output>) {
+fn apply_outputs(gateway: &Rc<Gateway>, zone: Option<&Arc<str>>, outputs: Vec<Output>) {
     for output in outputs {
         match (output, zone) {
-            (Output::Tell(client, message), _) => link::tell(gateway, client, message),
+            (Output::Tell(client, message), _) => link::send_to_instance(gateway, client, message),
             (Output::Decided(decision), _) => log_decision(gateway, zone, &decision),
             (Output::Order(address, order), Some(zone)) => {
-                monoio::spawn(give(gateway.clone(), zone.clone(), address, order));
+                monoio::spawn(issue_order(gateway.clone(), zone.clone(), address, order));
             }
             (Output::Report(address, upstream), Some(zone)) => {
-                monoio::spawn(ask(gateway.clone(), zone.clone(), address, upstream));
+                monoio::spawn(request_report(gateway.clone(), zone.clone(), address, upstream));
             }
             (Output::Fenced, Some(zone)) => {
                 warn!(gateway.log, "fenced off"; "zone" => &**zone);
@@ -311,7 +321,7 @@
                 gateway.leadership.leaders.borrow_mut().remove(zone);
                 if let Some(mut scheduler) = scheduler {
                     scheduler.abandon();
-                    carry_out(gateway, None, scheduler.take_outputs());
+                    apply_outputs(gateway, None, scheduler.take_outputs());
                 }
                 monoio::spawn(election::read_leaders(gateway.clone()));
             }
@@ -325,15 +335,17 @@
     let outcome = if upstream.is_some() { "granted" } else { "not granted" };
     metrics::counter!("orioleroute_placements_total", "reason" => decision.reason).increment(1);
     info!(gateway.log, "placement"; "request" => decision.attempt.as_deref(), "outcome" => outcome,
-        "reason" => decision.reason, "step" => decision.step, "upstream" => upstream, "zone" => zone.map(|zone| &**zone),
+        "reason" => decision.reason, "step" => decision.step, "upstream" => upstream,
+        "zone" => zone.map(|zone| &**zone),
         "waited_ms" => decision.waited.as_millis() as u64,
         "expected_ms" => decision.expected.as_millis() as u64,
         "queue_ms" => decision.queue.as_millis() as u64);
 }
 
-/// Gives an order and hands its outcome to the scheduler.
-async fn give(gateway: Rc<Gateway>, zone: Arc<str>, address: SocketAddr, order: Order) {
-    let outcome = match gateway.leadership.is_suspended.get() || gateway.leadership.was_frozen() {
+/// Sends an order to an engine and passes its outcome to the scheduler.
+async fn issue_order(gateway: Rc<Gateway>, zone: Arc<str>, address: SocketAddr, order: Order) {
+    let outcome = match gateway.leadership.is_suspended.get() || gateway.leadership.was_suspended()
+    {
         true => Outcome::Unsent,
         false => {
             let call = engine::order(&order, &gateway.settings().name);
@@ -344,7 +356,8 @@
             }
         }
     };
-    debug!(gateway.log, "order"; "upstream" => &*order.upstream, "action" => format!("{:?}", order.action),
+    debug!(gateway.log, "order"; "upstream" => &*order.upstream,
+        "action" => format!("{:?}", order.action),
         "expected" => order.expected_orders, "outcome" => outcome.to_string());
     metrics::counter!("orioleroute_orders_total", "outcome" => outcome.to_string()).increment(1);
     let outputs = {
@@ -357,17 +370,23 @@
             scheduler.take_outputs()
         })
     };
-    carry_out(&gateway, Some(&zone), outputs.unwrap_or_default());
+    apply_outputs(&gateway, Some(&zone), outputs.unwrap_or_default());
 }
 
-/// Asks an engine for its report and hands it to the scheduler.
-async fn ask(gateway: Rc<Gateway>, zone: Arc<str>, address: SocketAddr, upstream: Arc<str>) {
+/// Requests a report from an engine and passes it to the scheduler.
+async fn request_report(
+    gateway: Rc<Gateway>,
+    zone: Arc<str>,
+    address: SocketAddr,
+    upstream: Arc<str>,
+) {
     let call = engine::report_request(&upstream);
     let answer = gateway.pool.call_within(address, call, ENGINE_TIMEOUT).await;
     let report = match &answer {
         Ok(answer) => engine::report(answer),
         Err(error) => {
-            debug!(gateway.log, "no report"; "upstream" => &*upstream, "error" => error.to_string());
+            debug!(gateway.log, "report request failed"; "upstream" => &*upstream,
+                "error" => error.to_string());
             None
         }
     };
@@ -379,7 +398,7 @@
             scheduler.take_outputs()
         })
     };
-    carry_out(&gateway, Some(&zone), outputs.unwrap_or_default());
+    apply_outputs(&gateway, Some(&zone), outputs.unwrap_or_default());
 }
 
 /// Returns whether an upstream is a model engine.
--- a/crates/orioleroute-node/src/gateway/link.rs
+++ b/crates/orioleroute-node/src/gateway/link.rs
@@ -1,5 +1,5 @@
-//! Connections between instances and the schedulers of availability zones: one JSON-RPC
-//! notification a line, in both directions.
+//! Connections between instances and the schedulers of availability zones: one JSON-RPC notification
+//! per line, in both directions.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -22,53 +22,54 @@
 /// The longest wait for a connection to a scheduler; a round trip between regions takes 24 ms.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The longest wait for the other end to take a message.
+/// The longest wait for the peer to read a message.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The longest line, in bytes.
-const MAX_LINE: usize = 64 << 10;
+/// The longest line that a peer may send, in bytes.
+const MAX_LINE_BYTES: usize = 64 << 10;
 
-/// How long a scheduler that could not be reached is not tried again.
-const RETRY: Duration = Duration::from_millis(300);
+/// The time before another connection to a scheduler after a failed one, and the pause after a failed
+/// accept.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// How long a scheduler that did not answer in time is left alone, so that only few requests wait for
-/// one that is cut off.
-const SUSPICION: Duration = Duration::from_millis(400);
+/// How long a scheduler that did not reply in time gets no requests, so that only few requests wait for
+/// one that is partitioned.
+const SUSPECT_DURATION: Duration = Duration::from_millis(400);
 
 /// The outgoing and incoming connections of one instance.
 #[derive(Default)]
 pub struct Links {
     outgoing: RefCell<Map<SocketAddr, Rc<Link>>>,
-    failed: RefCell<Map<SocketAddr, Instant>>,
+    failed_at: RefCell<Map<SocketAddr, Instant>>,
     incoming: RefCell<Map<Client, mpsc::unbounded::Tx<ToInstance>>>,
-    local: Answers,
+    local: PendingReplies,
     next_client: Cell<u64>,
     next_ticket: Cell<u64>,
 }
 
-/// The requests whose scheduler has not answered yet.
+/// The placement requests that await a reply, by ticket.
 #[derive(Default)]
-struct Answers(RefCell<Map<u64, mpsc::unbounded::Tx<ToInstance>>>);
+struct PendingReplies(RefCell<Map<u64, mpsc::unbounded::Tx<ToInstance>>>);
 
 /// A connection to a scheduler at another instance.
 pub struct Link {
     queue: mpsc::unbounded::Tx<ToScheduler>,
-    answers: Answers,
-    /// When the scheduler last failed to answer in time.
+    pending: PendingReplies,
+    /// When the scheduler last failed to reply in time.
     suspected: Cell<Option<Instant>>,
 }
 
-/// The way to a scheduler.
+/// A handle to send messages to a scheduler.
 #[derive(Clone)]
-pub enum Route {
-    /// It runs here.
+pub enum SchedulerHandle {
+    /// The scheduler runs in this process.
     Local,
-    /// It runs at another instance.
+    /// The scheduler runs at another instance.
     Remote(Rc<Link>),
 }
 
 impl Links {
-    /// Returns a number for a request.
+    /// Returns a new ticket for a placement request.
     pub fn next_ticket(&self) -> u64 {
         let ticket = self.next_ticket.get() + 1;
         self.next_ticket.set(ticket);
@@ -76,7 +77,7 @@
     }
 }
 
-impl Answers {
+impl PendingReplies {
     fn expect(&self, ticket: u64) -> mpsc::unbounded::Rx<ToInstance> {
         let (sender, receiver) = mpsc::unbounded::channel();
         self.0.borrow_mut().insert(ticket, sender);
@@ -90,37 +91,40 @@
             ToInstance::Refuse { ticket, .. } => (*ticket, true),
         };
         if let Some(sender) = self.0.borrow().get(&ticket) {
-            // The request may have been given up meanwhile, which its own message tells.
+            // Fails if the request was withdrawn meanwhile; dropping its permit notifies the scheduler.
             let _ = sender.send(message);
         }
         if is_final {
-            self.forget(ticket);
+            self.discard(ticket);
         }
     }
 
-    fn forget(&self, ticket: u64) {
+    fn discard(&self, ticket: u64) {
         self.0.borrow_mut().remove(&ticket);
     }
 }
 
-impl Route {
-    /// Returns the way to the scheduler at `address`, or `None` if it could not be reached lately.
-    pub fn to(gateway: &Rc<Gateway>, address: SocketAddr) -> Option<Self> {
+impl SchedulerHandle {
+    /// Returns a handle to the scheduler at `address`, or `None` if it was recently unreachable or did
+    /// not reply in time. Starts connecting if there is no connection.
+    pub fn for_address(gateway: &Rc<Gateway>, address: SocketAddr) -> Option<Self> {
         if address == gateway.settings().peer_address {
             return Some(Self::Local);
         }
         let links = &gateway.links;
         if let Some(link) = links.outgoing.borrow().get(&address) {
             let suspected = link.suspected.get();
-            let is_suspect = suspected.is_some_and(|since| gateway.now().since(since) < SUSPICION);
+            let is_suspect =
+                suspected.is_some_and(|since| gateway.now().since(since) < SUSPECT_DURATION);
             return (!is_suspect).then(|| Self::Remote(link.clone()));
         }
-        let failed = links.failed.borrow().get(&address).copied();
-        if failed.is_some_and(|failed| gateway.now().since(failed) < RETRY) {
+        let failed_at = links.failed_at.borrow().get(&address).copied();
+        if failed_at.is_some_and(|failed_at| gateway.now().since(failed_at) < RETRY_DELAY) {
             return None;
         }
         let (queue, messages) = mpsc::unbounded::channel();
-        let link = Rc::new(Link { queue, answers: Answers::default(), suspected: Cell::new(None) });
+        let link =
+            Rc::new(Link { queue, pending: PendingReplies::default(), suspected: Cell::new(None) });
         links.outgoing.borrow_mut().insert(address, link.clone());
         monoio::spawn(run_outgoing(gateway.clone(), address, link.clone(), messages));
         Some(Self::Remote(link))
@@ -129,55 +133,56 @@
     /// Sends a message.
     pub fn send(&self, gateway: &Rc<Gateway>, message: ToScheduler) {
         match self {
-            Self::Local => leadership::receive(gateway, leadership::LOCAL, message),
-            // A link whose task has ended has told all requests that wait.
+            Self::Local => leadership::handle_message(gateway, leadership::LOCAL_CLIENT, message),
+            // Fails if the task of the link has ended, which has failed all waiting requests.
             Self::Remote(link) => drop(link.queue.send(message)),
         }
     }
 
-    /// Forgets a request of which nothing more is expected.
-    pub fn forget(&self, gateway: &Rc<Gateway>, ticket: u64) {
+    /// Discards a request for which no more replies are expected.
+    pub fn discard(&self, gateway: &Rc<Gateway>, ticket: u64) {
         match self {
-            Self::Local => gateway.links.local.forget(ticket),
-            Self::Remote(link) => link.answers.forget(ticket),
+            Self::Local => gateway.links.local.discard(ticket),
+            Self::Remote(link) => link.pending.discard(ticket),
         }
     }
 
-    /// Takes note that the scheduler did not answer in time: it is left alone for a while.
-    pub fn suspect(&self, gateway: &Rc<Gateway>) {
+    /// Records that the scheduler did not reply in time. It gets no requests for [`SUSPECT_DURATION`].
+    pub fn mark_suspect(&self, gateway: &Rc<Gateway>) {
         if let Self::Remote(link) = self {
             link.suspected.set(Some(gateway.now()));
         }
     }
 
-    /// Returns what will hold the answer to a request for a place; it fails if the link does.
+    /// Registers a placement request, and returns the receiver of its replies. The receiver is closed if
+    /// the link fails.
     pub fn expect(&self, gateway: &Rc<Gateway>, ticket: u64) -> mpsc::unbounded::Rx<ToInstance> {
         match self {
             Self::Local => gateway.links.local.expect(ticket),
-            Self::Remote(link) => link.answers.expect(ticket),
+            Self::Remote(link) => link.pending.expect(ticket),
         }
     }
 }
 
-/// Tells an instance what its scheduler decided.
-pub fn tell(gateway: &Rc<Gateway>, client: Client, message: ToInstance) {
-    if client == leadership::LOCAL {
+/// Sends a scheduler's reply to an instance.
+pub fn send_to_instance(gateway: &Rc<Gateway>, client: Client, message: ToInstance) {
+    if client == leadership::LOCAL_CLIENT {
         return gateway.links.local.deliver(message);
     }
     if let Some(queue) = gateway.links.incoming.borrow().get(&client) {
-        // A connection whose task has ended is told of by that task.
+        // Fails if the connection's task has ended, which reports the disconnect itself.
         let _ = queue.send(message);
     }
 }
 
-/// Takes connections of other instances, forever.
+/// Accepts connections from other instances, forever.
 pub async fn serve(gateway: Rc<Gateway>, listener: TcpListener) {
     loop {
         let (stream, peer) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
-                warn!(gateway.log, "no peer accepted"; "error" => error.to_string());
-                monoio::time::sleep(RETRY).await;
+                warn!(gateway.log, "accepting a peer failed"; "error" => error.to_string());
+                monoio::time::sleep(RETRY_DELAY).await;
                 continue;
             }
         };
@@ -191,11 +196,11 @@
     gateway.links.next_client.set(client.0);
     let (queue, messages) = mpsc::unbounded::channel();
     gateway.links.incoming.borrow_mut().insert(client, queue);
-    let receive = |message| leadership::receive(&gateway, client, message);
-    let end = exchange(socket, messages, receive).await;
-    debug!(gateway.log, "instance disconnected"; "peer" => peer.to_string(), "error" => end);
+    let receive = |message| leadership::handle_message(&gateway, client, message);
+    let reason = run_connection(socket, messages, receive).await;
+    debug!(gateway.log, "instance disconnected"; "peer" => peer.to_string(), "error" => reason);
     gateway.links.incoming.borrow_mut().remove(&client);
-    leadership::disconnected(&gateway, client);
+    leadership::handle_disconnect(&gateway, client);
 }
 
 async fn run_outgoing(
@@ -204,22 +209,22 @@
     link: Rc<Link>,
     messages: mpsc::unbounded::Rx<ToScheduler>,
 ) {
-    let end = match Socket::connect(address, CONNECT_TIMEOUT).await {
+    let reason = match Socket::connect(address, CONNECT_TIMEOUT).await {
         Ok(socket) => {
             info!(gateway.log, "scheduler connected"; "peer" => address.to_string());
-            exchange(socket, messages, |message| link.answers.deliver(message)).await
+            run_connection(socket, messages, |message| link.pending.deliver(message)).await
         }
         Err(error) => error.to_string(),
     };
-    warn!(gateway.log, "scheduler lost"; "peer" => address.to_string(), "error" => end);
+    warn!(gateway.log, "scheduler lost"; "peer" => address.to_string(), "error" => reason);
     gateway.links.outgoing.borrow_mut().remove(&address);
-    gateway.links.failed.borrow_mut().insert(address, gateway.now());
-    // Dropping the senders tells every request that waits.
-    link.answers.0.borrow_mut().clear();
+    gateway.links.failed_at.borrow_mut().insert(address, gateway.now());
+    // Dropping the senders fails every waiting request.
+    link.pending.0.borrow_mut().clear();
 }
 
-/// Sends and receives messages until the connection ends, and returns why it did.
-async fn exchange<S: Serialize, R: DeserializeOwned>(
+/// Sends and receives messages until the connection ends, and returns the reason.
+async fn run_connection<S: Serialize, R: DeserializeOwned>(
     mut socket: Socket,
     mut messages: mpsc::unbounded::Rx<S>,
     mut receive: impl FnMut(R),
@@ -245,7 +250,7 @@
             match monoio::time::timeout(WRITE_TIMEOUT, socket.write(&lines)).await {
                 Ok(Ok(())) => {}
                 Ok(Err(error)) => return error.to_string(),
-                Err(_) => return "the peer does not read".into(),
+                Err(_) => return "timed out writing to the peer".into(),
             }
         }
         while let Some(line) = take_line(&mut socket.input) {
@@ -254,14 +259,14 @@
                 Err(error) => return error.to_string(),
             }
         }
-        if socket.input.len() > MAX_LINE {
+        if socket.input.len() > MAX_LINE_BYTES {
             return "line too long".into();
         }
     }
 }
 
 fn write_line(lines: &mut Vec<u8>, message: &impl Serialize) {
-    // Writing to a vector fails only for maps whose keys are no texts, which no message has.
+    // Serializing to a vector fails only for maps with non-string keys, which no message contains.
     if serde_json::to_writer(&mut *lines, message).is_ok() {
         lines.push(b'\n');
     }
--- a/crates/orioleroute-node/src/gateway/mod.rs
+++ b/crates/orioleroute-node/src/gateway/mod.rs
@@ -1,19 +1,19 @@
-//! The instance on a platform that keeps the configuration: requests by host and path, upstreams
-//! from a list, model engines under one scheduler for each availability zone.
+//! The instance on a platform that stores the configuration: it routes requests by host and path,
+//! reads the upstreams from a table, and runs one scheduler of model engines per availability zone.
 //!
-//! `docs/PLATFORM.md` describes the parts. Decisions are the core's, in `orioleroute::ingress` and
-//! `orioleroute::scheduler`; names of the platform's interfaces are known to the crate
-//! `orioleroute-platform` only.
+//! `docs/PLATFORM.md` describes the parts. This module holds the sockets, timers and tasks; the
+//! decisions are made in `orioleroute::ingress` and `orioleroute::scheduler`, and only the crate
+//! `orioleroute-platform` contains the names of the platform's interfaces.
 
-mod directory;
 mod election;
+mod endpoints;
 mod exchange;
 mod forward;
-mod front;
 mod heartbeat;
 mod leadership;
 mod link;
-mod placing;
+mod placement;
+mod server;
 mod settings;
 mod state;
 mod stream;
@@ -31,7 +31,8 @@
 
 use crate::meter;
 
-/// Runs an instance until it has been told to stop and has answered its requests.
+/// Runs an instance until a termination signal arrives and its requests are answered or the grace
+/// period ends.
 pub fn main() -> ExitCode {
     let settings = match Settings::from_environment() {
         settings::Outcome::Run(settings) => *settings,
@@ -61,16 +62,16 @@
     let heartbeats = UdpSocket::bind(settings.peer_address)?;
     let ready = TcpListener::bind(settings.ready_address)?;
     let directory = TcpListener::bind(settings.directory_address)?;
-    let exposition = TcpListener::bind(settings.metrics_address)?;
+    let metrics_listener = TcpListener::bind(settings.metrics_address)?;
     let gateway = Rc::new(Gateway::new(settings));
     info!(gateway.log, "started"; "incarnation" => gateway.incarnation(),
         "callers" => gateway.settings().caller_address.to_string());
-    monoio::spawn(front::serve(gateway.clone(), callers));
+    monoio::spawn(server::serve(gateway.clone(), callers));
     monoio::spawn(link::serve(gateway.clone(), peers));
     monoio::spawn(heartbeat::run(gateway.clone(), heartbeats));
-    monoio::spawn(directory::serve_ready(gateway.clone(), ready));
-    monoio::spawn(directory::serve_resolutions(gateway.clone(), directory));
-    monoio::spawn(directory::serve_metrics(gateway.clone(), exposition, metrics));
+    monoio::spawn(endpoints::serve_ready(gateway.clone(), ready));
+    monoio::spawn(endpoints::serve_resolutions(gateway.clone(), directory));
+    monoio::spawn(endpoints::serve_metrics(gateway.clone(), metrics_listener, metrics));
     monoio::spawn(sync::watch_operator(gateway.clone()));
     monoio::spawn(sync::watch_upstreams(gateway.clone()));
     monoio::spawn(sync::watch_members(gateway.clone()));
--- /dev/null
+++ b/crates/orioleroute-node/src/gateway/placement.rs
@@ -0,0 +1,387 @@
+//! Permits to run requests on upstreams, granted by the schedulers of the availability zones or, for
+//! plain services and as a fallback, chosen by this instance.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use orioleroute::hash;
+use orioleroute::ingress::Configuration;
+use orioleroute::ingress::attempt::Generation;
+use orioleroute::ingress::health::Outcome;
+use orioleroute::prelude::*;
+use orioleroute::scheduler::message::{
+    Grant, Placement, Reason, RunResult, ToInstance, ToScheduler,
+};
+
+use slog::debug;
+
+use super::link;
+use super::state::Gateway;
+
+/// The least time that must be left until a request's target latency for it to overflow to another
+/// zone's scheduler: enough for a round trip between regions and for a grant there.
+const MIN_OVERFLOW_TIME: Duration = Duration::from_millis(200);
+
+/// A request for a permit on a model engine.
+pub struct PermitRequest<'a> {
+    /// The service.
+    pub service: &'a Arc<str>,
+    /// The model, the adapter and the prompt.
+    pub generation: &'a Generation,
+    /// The priority of the request's route; 0 is the most urgent.
+    pub priority: u8,
+    /// When the client stops waiting.
+    pub deadline: Instant,
+    /// When the target latency of the response, or of its first event, is exceeded.
+    pub objective: Instant,
+    /// Engines that have already failed this request.
+    pub excluded: &'a [Arc<str>],
+    /// The client's attempt id.
+    pub attempt: Option<&'a Arc<str>>,
+    /// Whether the client retries after a refusal.
+    pub is_return: bool,
+}
+
+/// A permit to run one request on an upstream, released when dropped.
+pub struct Permit {
+    gateway: Rc<Gateway>,
+    origin: Origin,
+    /// The id of the upstream.
+    pub upstream: Arc<str>,
+    /// The address for requests.
+    pub address: SocketAddr,
+    /// The version of the adapter that the engine holds, if known.
+    pub version: Option<u64>,
+}
+
+/// Who granted a permit, which decides who is notified when it is released.
+enum Origin {
+    /// A scheduler, which was asked for it under `ticket`.
+    Scheduled { scheduler: link::SchedulerHandle, ticket: u64 },
+    /// This instance, which chose the upstream itself.
+    Unscheduled { started_at: Instant },
+    /// The permit has been released.
+    Released,
+}
+
+/// A refused permit.
+#[derive(Clone, Copy, Debug)]
+pub struct Refusal {
+    /// Why the permit was refused.
+    pub reason: Reason,
+    /// How long the client should wait before it retries.
+    pub retry_after: Duration,
+}
+
+impl Permit {
+    /// Notifies the scheduler that the first event has arrived.
+    pub fn send_started(&self) {
+        if let Origin::Scheduled { scheduler, ticket } = &self.origin {
+            scheduler.send(&self.gateway, ToScheduler::Started { ticket: *ticket });
+        }
+    }
+
+    /// Releases the permit and reports how the request ended.
+    pub fn end(mut self, result: RunResult) {
+        self.release(result);
+    }
+
+    fn release(&mut self, result: RunResult) {
+        match std::mem::replace(&mut self.origin, Origin::Released) {
+            Origin::Scheduled { scheduler, ticket } => {
+                scheduler.discard(&self.gateway, ticket);
+                scheduler.send(&self.gateway, ToScheduler::Ended { ticket, result: Some(result) });
+            }
+            Origin::Unscheduled { started_at } => {
+                let now = self.gateway.now();
+                let outcome = match result {
+                    RunResult::Answered => Outcome::Answered(now.since(started_at)),
+                    other => other.into(),
+                };
+                self.gateway.health().entry(self.upstream.clone()).or_default().end(outcome, now);
+            }
+            Origin::Released => {}
+        }
+    }
+}
+
+impl Drop for Permit {
+    fn drop(&mut self) {
+        self.release(RunResult::Abandoned);
+    }
+}
+
+/// Acquires a permit on a model engine.
+///
+/// Asks the scheduler of this instance's zone, then that of the adapter's home zone. If neither
+/// answers, chooses an engine that is listed with the adapter.
+///
+/// Rarely used adapters are fetched only by their home zone, which then has them warm for the next
+/// request from any zone.
+pub async fn acquire(
+    gateway: &Rc<Gateway>,
+    request: &PermitRequest<'_>,
+) -> Result<Permit, Refusal> {
+    let own: Arc<str> = gateway.settings().zone.as_str().into();
+    let home = home_zone(gateway, request.generation).unwrap_or_else(|| own.clone());
+    let first = match request_permit(gateway, &own, request, home == own).await {
+        Ok(permit) => return Ok(permit),
+        Err(refusal) => refusal,
+    };
+    let second = match first.reason {
+        Reason::NotHere => Some(home),
+        // Without a scheduler, this zone's engines still serve the adapters that they hold.
+        Reason::NotScheduler => match acquire_listed(gateway, request, Some(&own)) {
+            Some(permit) => return Ok(permit),
+            None => overflow_zone(gateway, &own, home),
+        },
+        Reason::Overloaded | Reason::NoEngine => {
+            let left = request.objective.since(gateway.now());
+            (left > MIN_OVERFLOW_TIME).then(|| overflow_zone(gateway, &own, home)).flatten()
+        }
+        Reason::TooLate => None,
+    };
+    let refusal = match second {
+        Some(zone) => match request_permit(gateway, &zone, request, true).await {
+            Ok(permit) => return Ok(permit),
+            Err(refusal) => refusal,
+        },
+        None => first,
+    };
+    // The home zone has no scheduler or no engine, so this instance's zone may fetch the adapter.
+    let is_home_unavailable = matches!(refusal.reason, Reason::NotScheduler | Reason::NoEngine);
+    let refusal = match first.reason == Reason::NotHere && is_home_unavailable {
+        true => match request_permit(gateway, &own, request, true).await {
+            Ok(permit) => return Ok(permit),
+            Err(refusal) => refusal,
+        },
+        false => refusal,
+    };
+    if refusal.reason == Reason::NotScheduler {
+        return acquire_listed(gateway, request, None)
+            .ok_or(Refusal { reason: Reason::NoEngine, retry_after: UNSCHEDULED_RETRY_AFTER });
+    }
+    Err(refusal)
+}
+
+/// The retry-after time if the zone has no scheduler and no engine is listed with the adapter: about
+/// the time until a new scheduler is elected.
+const UNSCHEDULED_RETRY_AFTER: Duration = Duration::from_millis(1_000);
+
+async fn request_permit(
+    gateway: &Rc<Gateway>,
+    zone: &Arc<str>,
+    request: &PermitRequest<'_>,
+    may_fetch: bool,
+) -> Result<Permit, Refusal> {
+    let unscheduled = Refusal { reason: Reason::NotScheduler, retry_after: Duration::ZERO };
+    let holder = gateway.leadership.leader(zone).map(|leader| leader.holder);
+    let address = holder
+        .as_ref()
+        .and_then(|holder| gateway.roster().member(holder).map(|member| member.peer_address));
+    let scheduler =
+        address.and_then(|address| link::SchedulerHandle::for_address(gateway, address));
+    let (Some(scheduler), Some(holder)) = (scheduler, holder) else { return Err(unscheduled) };
+    let ticket = gateway.links.next_ticket();
+    // Dropping the permit before the scheduler's reply withdraws the request.
+    let mut permit = Permit {
+        gateway: gateway.clone(),
+        origin: Origin::Scheduled { scheduler: scheduler.clone(), ticket },
+        upstream: "".into(),
+        address: gateway.settings().peer_address,
+        version: None,
+    };
+    let mut replies = scheduler.expect(gateway, ticket);
+    let placement = Placement { may_fetch, ..placement_message(gateway, zone, ticket, request) };
+    scheduler.send(gateway, ToScheduler::Place(Box::new(placement)));
+    let mut timeout = FIRST_REPLY_TIMEOUT;
+    loop {
+        match monoio::time::timeout(timeout, replies.recv()).await {
+            Ok(Some(ToInstance::Queued { .. })) => timeout = QUEUE_CHECK_INTERVAL,
+            Ok(Some(ToInstance::Grant(Grant { upstream, address, version, .. }))) => {
+                permit.upstream = upstream;
+                permit.address = address;
+                permit.version = version;
+                return Ok(permit);
+            }
+            Ok(Some(ToInstance::Refuse { retry_after_ms, reason, .. })) => {
+                permit.origin = Origin::Released;
+                return Err(Refusal { reason, retry_after: Duration::from_millis(retry_after_ms) });
+            }
+            Ok(None) => {
+                permit.origin = Origin::Released;
+                return Err(unscheduled);
+            }
+            Err(_) => {
+                let is_waiting = timeout == QUEUE_CHECK_INTERVAL;
+                if is_waiting && gateway.roster().is_responsive(&holder, gateway.now()) {
+                    continue;
+                }
+                debug!(gateway.log, "scheduler not responding";
+                    "request" => request.attempt.map(|id| &**id), "zone" => &**zone,
+                    "scheduler" => &*holder);
+                scheduler.mark_suspect(gateway);
+                scheduler.discard(gateway, ticket);
+                return Err(unscheduled);
+            }
+        }
+    }
+}
+
+/// The longest wait for a scheduler's first reply: a round trip between regions takes 24 ms, and a
+/// busy processor adds some tens of milliseconds.
+const FIRST_REPLY_TIMEOUT: Duration = Duration::from_millis(150);
+
+/// How often the scheduler that has queued a request is checked for recent heartbeats.
+const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(300);
+
+fn placement_message(
+    gateway: &Gateway,
+    zone: &Arc<str>,
+    ticket: u64,
+    request: &PermitRequest<'_>,
+) -> Placement {
+    let now = gateway.now();
+    let generation = request.generation;
+    let adapter = generation.adapter.as_ref();
+    Placement {
+        ticket,
+        zone: zone.clone(),
+        service: request.service.clone(),
+        model: generation.model.clone(),
+        adapter: adapter.cloned(),
+        version: adapter.and_then(|adapter| gateway.version(&generation.model, adapter)),
+        prompt_tokens: generation.prompt_tokens,
+        output_tokens: generation.output_tokens,
+        parts: generation.parts.clone(),
+        priority: request.priority,
+        time_left_ms: request.deadline.since(now).as_millis() as u64,
+        objective_left_ms: request.objective.since(now).as_millis() as u64,
+        excluded: request.excluded.to_vec(),
+        attempt: request.attempt.cloned(),
+        is_return: request.is_return,
+        may_fetch: true,
+    }
+}
+
+/// Returns the home zone of an adapter, which fetches it while it is rarely used.
+fn home_zone(gateway: &Gateway, generation: &Generation) -> Option<Arc<str>> {
+    let item = hash::digest(&generation.adapter);
+    let zones = gateway.leadership.led_zones();
+    hash::winner(item, zones.iter().map(|zone| (hash::digest(&**zone), zone))).cloned()
+}
+
+/// Returns the zone to which requests overflow: the adapter's home zone if that is another one, else
+/// any other zone.
+fn overflow_zone(gateway: &Gateway, own: &str, home: Arc<str>) -> Option<Arc<str>> {
+    if *home != *own {
+        return Some(home);
+    }
+    gateway.leadership.led_zones().into_iter().find(|zone| **zone != *own)
+}
+
+/// Returns a permit on an engine, in `zone` or in any zone, that is listed with the request's model and
+/// adapter. This is the fallback when no scheduler replies.
+fn acquire_listed(
+    gateway: &Rc<Gateway>,
+    request: &PermitRequest<'_>,
+    zone: Option<&str>,
+) -> Option<Permit> {
+    let now = gateway.now();
+    let generation = request.generation;
+    let registry = gateway.registry();
+    let health = gateway.health();
+    let wanted = generation
+        .adapter
+        .as_ref()
+        .map(|adapter| (adapter, gateway.version(&generation.model, adapter).unwrap_or_default()));
+    let candidates = registry.ready(request.service).filter(|upstream| {
+        let has_adapter = wanted.is_none_or(|(adapter, newest)| {
+            upstream.version(&generation.model, adapter).is_some_and(|held| held >= newest)
+        });
+        has_adapter
+            && zone.is_none_or(|zone| *zone == *upstream.zone)
+            && upstream.has_model(&generation.model)
+            && !request.excluded.contains(&upstream.id)
+            && !health.get(&upstream.id).is_some_and(|health| health.is_ejected(now))
+    });
+    let costs = candidates.map(|upstream| {
+        let health = health.get(&upstream.id).cloned().unwrap_or_default();
+        (health.cost(upstream.slots, extra_latency(gateway, &upstream.zone)), upstream)
+    });
+    let (_, best) = costs.min_by(|(one, _), (other, _)| one.total_cmp(other))?;
+    let (upstream, address) = (best.id.clone(), best.address);
+    let version = wanted.and_then(|(adapter, _)| best.version(&generation.model, adapter));
+    drop((registry, health));
+    // The listed version may be a second old; the engine checks it again.
+    let mut permit = unscheduled_permit(gateway, upstream, address);
+    permit.version = version;
+    Some(permit)
+}
+
+/// Returns a permit on the upstream of a plain service with the least expected cost.
+pub fn acquire_plain(
+    gateway: &Rc<Gateway>,
+    service: &str,
+    excluded: &[Arc<str>],
+) -> Result<Permit, Refusal> {
+    let now = gateway.now();
+    let best = {
+        let registry = gateway.registry();
+        let health = gateway.health();
+        let costs = registry
+            .ready(service)
+            .filter(|upstream| {
+                !excluded.contains(&upstream.id)
+                    && !health.get(&upstream.id).is_some_and(|health| health.is_ejected(now))
+            })
+            .map(|upstream| {
+                let extra_latency = extra_latency(gateway, &upstream.zone);
+                let cost = health.get(&upstream.id).cloned().unwrap_or_default();
+                (cost.cost(upstream.slots, extra_latency), upstream)
+            });
+        let best = costs.min_by(|(one, _), (other, _)| one.total_cmp(other));
+        best.map(|(_, upstream)| (upstream.id.clone(), upstream.address))
+    };
+    let refusal = Refusal { reason: Reason::NoEngine, retry_after: NO_UPSTREAM_RETRY_AFTER };
+    let (upstream, address) = best.ok_or(refusal)?;
+    Ok(unscheduled_permit(gateway, upstream, address))
+}
+
+/// The retry-after time if a service has no usable upstream: about the length of an ejection.
+const NO_UPSTREAM_RETRY_AFTER: Duration = Duration::from_millis(400);
+
+/// The extra latency of an upstream in another availability zone of the region, whose traffic also
+/// costs more.
+const ZONE_LATENCY: Duration = Duration::from_millis(3);
+
+/// The extra latency of an upstream in another region: a round trip takes 24 ms.
+const REGION_LATENCY: Duration = Duration::from_millis(30);
+
+fn extra_latency(gateway: &Gateway, zone: &str) -> Duration {
+    let settings = gateway.settings();
+    if *zone == *settings.zone {
+        return Duration::ZERO;
+    }
+    match gateway.region_of(zone).is_some_and(|region| region == settings.region) {
+        true => ZONE_LATENCY,
+        false => REGION_LATENCY,
+    }
+}
+
+fn unscheduled_permit(gateway: &Rc<Gateway>, upstream: Arc<str>, address: SocketAddr) -> Permit {
+    gateway.health().entry(upstream.clone()).or_default().begin();
+    let started_at = gateway.now();
+    Permit {
+        gateway: gateway.clone(),
+        origin: Origin::Unscheduled { started_at },
+        upstream,
+        address,
+        version: None,
+    }
+}
+
+/// Returns whether a service's upstreams are model engines.
+pub fn has_engine(configuration: &Configuration, service: &str) -> bool {
+    configuration.services.get(service).is_some_and(|service| service.engine.is_some())
+}
--- a/crates/orioleroute-node/src/gateway/front.rs
+++ b/crates/orioleroute-node/src/gateway/server.rs
@@ -1,4 +1,4 @@
-//! The connections of clients.
+//! The HTTP server for clients.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -15,90 +15,94 @@
 use orioleroute_wire::http1::socket::Socket;
 use slog::warn;
 
-use super::forward::{self, Ending, Inbound};
+use super::forward::{self, Disposition, Inbound};
 use super::state::Gateway;
 
-/// The longest wait for a whole body: as long as the longest deadline of today's clients.
-const BODY_TIME: Duration = Duration::from_secs(15);
+/// The longest wait for a whole body: the longest deadline that clients currently use.
+const BODY_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How long a client that sent what cannot be taken may go on sending, so that it sees the answer.
-const DISCARD_TIME: Duration = Duration::from_millis(500);
+/// How long the remaining input of a rejected request is read, so that the client receives the
+/// response.
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The wait after a failed accept, which is mostly for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// The pause after a failed accept, which is mostly due to a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The longest wait for a client to take a small answer.
+/// The longest wait for a client to read a response without a body.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// When a client that met a limit of this instance is to come back; others have room.
-const BUSY_RETRY: Duration = Duration::from_millis(200);
+/// The retry-after time if this instance's memory for request bodies is used up. It is short because
+/// other instances have capacity.
+const NO_MEMORY_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Takes connections of clients, forever.
+/// Accepts connections from clients, forever.
 pub async fn serve(gateway: Rc<Gateway>, listener: TcpListener) {
-    let open = Rc::new(Cell::new(0_usize));
+    let open_connections = Rc::new(Cell::new(0_usize));
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                warn!(gateway.log, "no client accepted"; "error" => error.to_string());
-                monoio::time::sleep(ACCEPT_PAUSE).await;
+                warn!(gateway.log, "accepting a client failed"; "error" => error.to_string());
+                monoio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         let Ok(mut socket) = Socket::accepted(stream) else { continue };
         let gateway = gateway.clone();
-        if open.get() >= gateway.settings().connections {
+        if open_connections.get() >= gateway.settings().connections {
             metrics::counter!("orioleroute_connections_rejected_total").increment(1);
             continue;
         }
-        open.set(open.get() + 1);
-        let open = open.clone();
+        open_connections.set(open_connections.get() + 1);
+        let open_connections = open_connections.clone();
         monoio::spawn(async move {
-            converse(&gateway, &mut socket).await;
-            open.set(open.get() - 1);
+            serve_connection(&gateway, &mut socket).await;
+            open_connections.set(open_connections.get() - 1);
         });
     }
 }
 
-/// Answers the requests of one connection, one after another.
-async fn converse(gateway: &Rc<Gateway>, client: &mut Socket) {
+/// Serves the requests of one connection sequentially.
+async fn serve_connection(gateway: &Rc<Gateway>, client: &mut Socket) {
     loop {
-        let limits = gateway.configuration().map_or_else(Limits::default, |known| known.limits);
+        let limits = gateway
+            .configuration()
+            .map_or_else(Limits::default, |configuration| configuration.limits);
         let head = match read_head(client, &limits).await {
             Ok(Some(head)) => head,
             Ok(None) => return,
-            Err(fault) => return reject(client, None, fault).await,
+            Err(rejection) => return reject(client, None, rejection).await,
         };
-        let _guard = gateway.enter();
+        let _guard = gateway.track_request();
         let arrived = gateway.now();
         let id = ingress::attempt(&head.headers).id;
         let body = match read_body(gateway, client, &head, &limits).await {
             Ok(body) => body,
-            Err(fault) => return reject(client, id.as_deref(), fault).await,
+            Err(rejection) => return reject(client, id.as_deref(), rejection).await,
         };
         let bytes = body.len();
         let keeps_alive = head.keeps_alive;
-        let ending = forward::answer(gateway, client, Inbound { head, body, arrived }).await;
+        let disposition = forward::handle(gateway, client, Inbound { head, body, arrived }).await;
         gateway.release_body(bytes);
-        if ending == Ending::Close || !keeps_alive || gateway.is_stopping() {
-            // The peer may be gone; there is nothing more to tell it.
+        if disposition == Disposition::Close || !keeps_alive || gateway.is_stopping() {
+            // The client may have disconnected already, and there is nothing left to send.
             let _ = client.shutdown().await;
             return;
         }
     }
 }
 
-/// Why a request cannot be taken.
+/// Why a request is rejected before it is routed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fault {
+enum Rejection {
     Malformed(Malformed),
     TooLarge,
-    Slow,
-    Busy,
-    Gone,
+    TimedOut,
+    NoMemory,
+    Disconnected,
 }
 
-impl Fault {
+impl Rejection {
     fn status(self) -> StatusCode {
         match self {
             Self::Malformed(Malformed::HeadTooLarge(_)) => {
@@ -106,14 +110,14 @@
             }
             Self::Malformed(_) => StatusCode::BAD_REQUEST,
             Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            Self::Slow | Self::Gone => StatusCode::REQUEST_TIMEOUT,
-            Self::Busy => StatusCode::SERVICE_UNAVAILABLE,
+            Self::TimedOut | Self::Disconnected => StatusCode::REQUEST_TIMEOUT,
+            Self::NoMemory => StatusCode::SERVICE_UNAVAILABLE,
         }
     }
 }
 
-/// Reads a head, or returns `None` once the client has closed or been idle for too long.
-async fn read_head(client: &mut Socket, limits: &Limits) -> Result<Option<Request>, Fault> {
+/// Reads a request head, or returns `None` if the client closes the connection or is idle for too long.
+async fn read_head(client: &mut Socket, limits: &Limits) -> Result<Option<Request>, Rejection> {
     if client.input.is_empty() {
         match monoio::time::timeout(limits.idle_time, client.fill()).await {
             Ok(Ok(read)) if read > 0 => {}
@@ -125,7 +129,7 @@
             match Request::parse(&mut client.input, limits.head_bytes) {
                 Ok(Some(head)) => return Ok(Some(head)),
                 Ok(None) => {}
-                Err(error) => return Err(Fault::Malformed(error)),
+                Err(error) => return Err(Rejection::Malformed(error)),
             }
             match client.fill().await {
                 Ok(read) if read > 0 => {}
@@ -133,7 +137,7 @@
             }
         }
     };
-    monoio::time::timeout(limits.head_time, read).await.unwrap_or(Err(Fault::Slow))
+    monoio::time::timeout(limits.head_time, read).await.unwrap_or(Err(Rejection::TimedOut))
 }
 
 async fn read_body(
@@ -141,70 +145,70 @@
     client: &mut Socket,
     head: &Request,
     limits: &Limits,
-) -> Result<Bytes, Fault> {
+) -> Result<Bytes, Rejection> {
     if head.framing == Framing::Length(0) {
         return Ok(Bytes::new());
     }
     if matches!(head.framing, Framing::Length(length) if length > limits.body_bytes as u64) {
-        return Err(Fault::TooLarge);
+        return Err(Rejection::TooLarge);
     }
     if head.expects_continue() && client.input.is_empty() {
         let interim = client.write(b"HTTP/1.1 100 Continue\r\n\r\n").await;
-        interim.map_err(|_| Fault::Gone)?;
+        interim.map_err(|_| Rejection::Disconnected)?;
     }
     let mut whole = Vec::new();
     let mut decoder = Decoder::new(head.framing);
     let read = async {
         loop {
             match decoder.decode(&mut client.input) {
-                Ok(Some(piece)) => {
-                    if whole.len() + piece.len() > limits.body_bytes {
-                        return Err(Fault::TooLarge);
+                Ok(Some(chunk)) => {
+                    if whole.len() + chunk.len() > limits.body_bytes {
+                        return Err(Rejection::TooLarge);
                     }
-                    if !gateway.reserve_body(piece.len()) {
-                        return Err(Fault::Busy);
+                    if !gateway.reserve_body(chunk.len()) {
+                        return Err(Rejection::NoMemory);
                     }
-                    whole.extend_from_slice(&piece);
+                    whole.extend_from_slice(&chunk);
                 }
                 Ok(None) if decoder.is_done() => return Ok(()),
                 Ok(None) => match client.fill().await {
                     Ok(read) if read > 0 => {}
-                    _ => return Err(Fault::Gone),
+                    _ => return Err(Rejection::Disconnected),
                 },
-                Err(error) => return Err(Fault::Malformed(error)),
+                Err(error) => return Err(Rejection::Malformed(error)),
             }
         }
     };
-    let read = monoio::time::timeout(BODY_TIME, read).await.unwrap_or(Err(Fault::Slow));
+    let read = monoio::time::timeout(BODY_TIMEOUT, read).await.unwrap_or(Err(Rejection::TimedOut));
     if read.is_err() {
         gateway.release_body(whole.len());
     }
     read.map(|()| whole.into())
 }
 
-/// Answers what cannot be taken, and ends the connection so that the answer arrives.
-async fn reject(client: &mut Socket, id: Option<&str>, fault: Fault) {
-    if fault == Fault::Gone {
+/// Responds to a rejected request, and closes the connection so that the response arrives.
+async fn reject(client: &mut Socket, id: Option<&str>, rejection: Rejection) {
+    if rejection == Rejection::Disconnected {
         return;
     }
-    metrics::counter!("orioleroute_rejected_total", "status" => fault.status().as_str().to_owned())
+    metrics::counter!("orioleroute_rejected_total", "status" => rejection.status().as_str().to_owned())
         .increment(1);
-    let retry_after = (fault == Fault::Busy).then_some(BUSY_RETRY);
-    if respond(client, fault.status(), id, retry_after, true).await.is_err()
+    let retry_after = (rejection == Rejection::NoMemory).then_some(NO_MEMORY_RETRY_AFTER);
+    if respond(client, rejection.status(), id, retry_after, true).await.is_err()
         || client.shutdown().await.is_err()
     {
         return;
     }
-    // Closing with unread input would reset the connection before the client reads the answer.
+    // Closing with unread input would reset the connection before the client reads the response.
     let drained = async {
         while matches!(client.fill().await, Ok(read) if read > 0) {
             client.input.clear();
         }
     };
-    let _ = monoio::time::timeout(DISCARD_TIME, drained).await;
+    let _ = monoio::time::timeout(DISCARD_TIMEOUT, drained).await;
 }
 
-/// Writes an answer of this system's own, without a body.
+/// Writes a response without a body that is generated by this instance.
 pub async fn respond(
     client: &mut Socket,
     status: StatusCode,
--- a/crates/orioleroute-node/src/gateway/settings.rs
+++ b/crates/orioleroute-node/src/gateway/settings.rs
@@ -1,4 +1,4 @@
-//! Settings from flags, environment variables and a file, checked at the start and at each reload.
+//! Settings from flags, environment variables and a file, validated at the start and at each reload.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,13 +7,13 @@
 
 pub use crate::settings::LogFormat;
 
-/// What the command line asks for.
+/// The result of reading the settings.
 pub enum Outcome {
-    /// Runs with these settings.
+    /// Run with these settings.
     Run(Box<Settings>),
-    /// Prints a text and ends.
+    /// Print a text and exit.
     Print(String),
-    /// Ends with a message.
+    /// Fail with a message.
     Fail(String),
 }
 
@@ -28,33 +28,34 @@
     pub zone: String,
     /// All availability zones and their regions.
     pub zones: Vec<(String, String)>,
-    /// Where clients connect.
+    /// The address on which clients connect.
     pub caller_address: SocketAddr,
-    /// Where the platform asks whether this instance takes requests.
+    /// The address on which the platform queries the readiness of this instance.
     pub ready_address: SocketAddr,
-    /// Where clients ask for addresses.
+    /// The address on which clients resolve the addresses of instances.
     pub directory_address: SocketAddr,
-    /// Where other instances connect, and send heartbeats.
+    /// The address on which other instances connect (TCP) and to which they send heartbeats (UDP).
     pub peer_address: SocketAddr,
-    /// Where metrics are served.
+    /// The address on which metrics are served.
     pub metrics_address: SocketAddr,
-    /// The platform's store.
+    /// The address of the platform's store.
     pub store_address: SocketAddr,
-    /// The time between a termination signal and the end of the process at the latest.
+    /// The grace period: the longest time from a termination signal to the exit of the process.
     pub grace: Duration,
-    /// How long clients may keep an answer to the question for addresses.
+    /// How long clients may cache the result of an address resolution.
     pub resolution_life: Duration,
-    /// The share of a processor core that the instance has, by which duties are dealt out.
+    /// The share of a processor core available to this instance, its weight in the election of
+    /// schedulers.
     pub processor_share: f64,
-    /// The connections of clients that are open at a time.
+    /// The most client connections that are open at a time.
     pub connections: usize,
-    /// The bytes of request bodies that are held at a time.
+    /// The most memory for request bodies held at a time, in bytes.
     pub body_memory: usize,
-    /// How log lines are written.
+    /// The format of log lines.
     pub log_format: LogFormat,
     /// The least severe level that is logged.
     pub log_level: slog::Level,
-    /// The most log lines in a second; more are counted and left out.
+    /// The most log lines per second; further ones are dropped and counted.
     pub log_lines: u32,
 }
 
--- a/crates/orioleroute-node/src/gateway/state.rs
+++ b/crates/orioleroute-node/src/gateway/state.rs
@@ -1,9 +1,9 @@
-//! What one instance knows, shared by its tasks on one thread.
+//! The state of one instance, shared by its tasks on one thread.
 
 use std::cell::{Cell, Ref, RefCell, RefMut};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::{Instant as Clock, SystemTime, UNIX_EPOCH};
+use std::time::{Instant as StdInstant, SystemTime, UNIX_EPOCH};
 
 use monoio::io::AsyncReadRent;
 use monoio::net::UnixStream;
@@ -27,50 +27,50 @@
 use super::settings::{Outcome, Settings};
 use crate::log;
 
-/// How long after a termination signal an instance still takes requests of clients that have not
-/// heard of it: the time for which they may keep its address, as far as the grace allows.
-const TAKING_SHARE: f64 = 0.3;
+/// The fraction of the grace period during which a stopping instance still accepts new requests.
+/// Clients may cache its address, so this covers the cache lifetime as far as the grace period allows.
+const ACCEPTING_GRACE_FRACTION: f64 = 0.3;
 
-/// The part of the grace after which the process ends even if requests still run.
-const RUNNING_SHARE: f64 = 0.93;
+/// The fraction of the grace period after which the process exits even if requests are in flight.
+const FORCED_EXIT_GRACE_FRACTION: f64 = 0.93;
 
-/// How often a stopping instance looks whether it has answered everything.
-const STOP_POLL: Duration = Duration::from_millis(50);
+/// How often a stopping instance checks whether requests are in flight.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A base model and an adapter on it.
-type AdapterName = (Arc<str>, Arc<str>);
+/// A base model and the name of an adapter on it.
+type AdapterKey = (Arc<str>, Arc<str>);
 
-/// One instance.
+/// The shared state of one instance.
 pub struct Gateway {
-    /// The log.
+    /// The logger.
     pub log: Logger,
-    /// The platform's store.
+    /// The client of the platform's store.
     pub store: Store,
-    /// Connections for orders and reports.
+    /// Connections to engines, for orders and reports.
     pub pool: Pool,
-    /// Connections for requests.
+    /// Connections to upstreams, for requests.
     pub connections: Connections,
-    /// Connections to schedulers.
+    /// Connections to schedulers and from other instances.
     pub links: Links,
-    /// The part of the instance that schedules availability zones.
+    /// The leaders of the availability zones, and the schedulers that run here.
     pub leadership: Leadership,
     settings: RefCell<Settings>,
-    started: Clock,
+    started: StdInstant,
     incarnation: u64,
     configuration: RefCell<Option<Arc<Configuration>>>,
     registry: RefCell<Registry>,
     roster: RefCell<Roster>,
     health: RefCell<Map<Arc<str>, Health>>,
-    retries: RefCell<Map<Arc<str>, retry::Budget>>,
-    versions: RefCell<Map<AdapterName, u64>>,
+    retry_budgets: RefCell<Map<Arc<str>, retry::Budget>>,
+    adapter_versions: RefCell<Map<AdapterKey, u64>>,
     deadlines: RefCell<Map<Arc<str>, Longest>>,
-    stopping: Cell<Option<Instant>>,
+    stopping_since: Cell<Option<Instant>>,
     in_flight: Cell<usize>,
-    body_bytes: Cell<usize>,
+    reserved_body_bytes: Cell<usize>,
 }
 
 impl Gateway {
-    /// Returns an instance that knows nothing yet.
+    /// Returns the state of an instance that has read nothing from the store yet.
     pub fn new(settings: Settings) -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let incarnation = since_epoch.as_micros() as u64;
@@ -91,79 +91,81 @@
             links: Links::default(),
             leadership: Leadership::default(),
             settings: RefCell::new(settings),
-            started: Clock::now(),
+            started: StdInstant::now(),
             incarnation,
             configuration: RefCell::default(),
             registry: RefCell::default(),
             roster: RefCell::new(Roster::new(own)),
             health: RefCell::default(),
-            retries: RefCell::default(),
-            versions: RefCell::default(),
+            retry_budgets: RefCell::default(),
+            adapter_versions: RefCell::default(),
             deadlines: RefCell::default(),
-            stopping: Cell::new(None),
+            stopping_since: Cell::new(None),
             in_flight: Cell::new(0),
-            body_bytes: Cell::new(0),
+            reserved_body_bytes: Cell::new(0),
         }
     }
 
-    /// Returns the time on this process's steady clock.
+    /// Returns the time since the start of the process, on the monotonic clock.
     pub fn now(&self) -> Instant {
         Instant::from_micros(self.started.elapsed().as_micros() as u64)
     }
 
-    /// Returns the settings in force.
+    /// Returns the active settings.
     pub fn settings(&self) -> Ref<'_, Settings> {
         self.settings.borrow()
     }
 
-    /// Returns what distinguishes this start of the instance.
+    /// Returns the incarnation: the start time in microseconds since the Unix epoch, which
+    /// distinguishes restarts of an instance.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Returns the configuration in force, if one is known.
+    /// Returns the active configuration, or `None` before the first one is read.
     pub fn configuration(&self) -> Option<Arc<Configuration>> {
         self.configuration.borrow().clone()
     }
 
-    /// Takes a configuration into force unless it is older than the one in force.
+    /// Activates a configuration unless the active one is at least as new.
     pub fn configure(&self, configuration: Configuration) {
-        let before = self.configuration.borrow().as_ref().map(|before| before.version);
-        if before.is_some_and(|before| before >= configuration.version) {
+        let previous = self.configuration.borrow().as_ref().map(|previous| previous.version);
+        if previous.is_some_and(|previous| previous >= configuration.version) {
             return;
         }
         info!(self.log, "configuration in force"; "version" => configuration.version,
-            "before" => before, "routes" => configuration.route_count());
+            "before" => previous, "routes" => configuration.route_count());
         let configuration = Arc::new(configuration);
         *self.configuration.borrow_mut() = Some(configuration.clone());
         self.leadership.configure(&configuration);
         self.update_serving();
     }
 
-    /// Returns the upstreams.
+    /// Returns the registry of upstreams.
     pub fn registry(&self) -> RefMut<'_, Registry> {
         self.registry.borrow_mut()
     }
 
-    /// Returns the instances.
+    /// Returns the roster of instances.
     pub fn roster(&self) -> RefMut<'_, Roster> {
         self.roster.borrow_mut()
     }
 
-    /// Returns how the upstreams have answered.
+    /// Returns the health of the upstreams by id.
     pub fn health(&self) -> RefMut<'_, Map<Arc<str>, Health>> {
         self.health.borrow_mut()
     }
 
-    /// Returns the newest version of an adapter that has been announced.
+    /// Returns the newest announced version of an adapter.
     pub fn version(&self, model: &Arc<str>, adapter: &Arc<str>) -> Option<u64> {
-        self.versions.borrow().get(&(model.clone(), adapter.clone())).copied()
+        self.adapter_versions.borrow().get(&(model.clone(), adapter.clone())).copied()
     }
 
-    /// Takes note of a newer version of an adapter.
-    pub fn announce(&self, announcement: &Announcement) {
+    /// Records the announcement of an adapter version if it is the newest, and passes it to the
+    /// schedulers.
+    pub fn record_announcement(&self, announcement: &Announcement) {
         let key = (announcement.model.clone(), announcement.revision.name.clone());
-        let mut versions = self.versions.borrow_mut();
+        let mut versions = self.adapter_versions.borrow_mut();
         let newest = versions.entry(key).or_default();
         if *newest < announcement.revision.version {
             *newest = announcement.revision.version;
@@ -171,13 +173,13 @@
                 "adapter" => &*announcement.revision.name, "version" => *newest);
         }
         drop(versions);
-        self.leadership.announce(announcement);
+        self.leadership.record_announcement(announcement);
     }
 
-    /// Returns all announcements so far.
+    /// Returns the newest announced version of each adapter.
     pub fn announcements(&self) -> Vec<Announcement> {
-        let versions = self.versions.borrow();
-        let announcement = |((model, adapter), version): (&AdapterName, &u64)| {
+        let versions = self.adapter_versions.borrow();
+        let announcement = |((model, adapter), version): (&AdapterKey, &u64)| {
             let revision = orioleroute::ingress::upstream::Revision {
                 name: adapter.clone(),
                 version: *version,
@@ -187,19 +189,20 @@
         versions.iter().map(announcement).collect()
     }
 
-    /// Counts a request of a service towards its budget of repetitions.
+    /// Credits a request to the retry budget of its service.
     pub fn earn_retry(&self, service: &Arc<str>) {
-        self.budget(service).earn();
+        self.retry_budget(service).earn();
     }
 
-    /// Takes a repetition from a service's budget, and returns whether there was one.
+    /// Takes one retry from the budget of a service, and returns whether one was available.
     pub fn spend_retry(&self, service: &Arc<str>) -> bool {
         let now = self.now();
-        self.budget(service).spend(now)
+        self.retry_budget(service).spend(now)
     }
 
-    /// Returns how long a client of a route has been waiting that waits for `time_left` more.
-    pub fn elapsed(&self, route: &Arc<str>, time_left: Duration) -> Duration {
+    /// Returns how long a client of a route has been waiting since its first attempt, estimated from
+    /// the `time_left` until its deadline.
+    pub fn elapsed_at_client(&self, route: &Arc<str>, time_left: Duration) -> Duration {
         let now = self.now();
         self.deadlines.borrow_mut().entry(route.clone()).or_default().elapsed(time_left, now)
     }
@@ -210,52 +213,52 @@
         settings.zones.iter().find(|(name, _)| name == zone).map(|(_, region)| region.clone())
     }
 
-    /// Returns whether this instance was told to stop.
+    /// Returns whether this instance has received a termination signal.
     pub fn is_stopping(&self) -> bool {
-        self.stopping.get().is_some()
+        self.stopping_since.get().is_some()
     }
 
-    /// Returns whether new requests are taken.
-    pub fn is_taking(&self) -> bool {
-        let Some(since) = self.stopping.get() else { return true };
-        self.now().since(since) < self.settings().grace.mul_f64(TAKING_SHARE)
+    /// Returns whether new requests are accepted.
+    pub fn is_accepting(&self) -> bool {
+        let Some(since) = self.stopping_since.get() else { return true };
+        self.now().since(since) < self.settings().grace.mul_f64(ACCEPTING_GRACE_FRACTION)
     }
 
-    /// Returns whether clients should use this instance.
+    /// Returns whether this instance is ready for clients: it has a configuration and is not stopping.
     pub fn is_serving(&self) -> bool {
         !self.is_stopping() && self.configuration.borrow().is_some()
     }
 
-    /// Counts a request that is being answered until the guard is dropped.
-    pub fn enter(self: &Rc<Self>) -> Guard {
+    /// Counts a request as in flight until the returned guard is dropped.
+    pub fn track_request(self: &Rc<Self>) -> RequestGuard {
         self.in_flight.set(self.in_flight.get() + 1);
-        Guard(self.clone())
+        RequestGuard(self.clone())
     }
 
-    /// Reserves memory for a request body, and returns whether there was enough.
+    /// Reserves `bytes` of memory for a request body, and returns whether that much was available.
     pub fn reserve_body(&self, bytes: usize) -> bool {
-        let total = self.body_bytes.get() + bytes;
+        let total = self.reserved_body_bytes.get() + bytes;
         if total > self.settings().body_memory {
             return false;
         }
-        self.body_bytes.set(total);
+        self.reserved_body_bytes.set(total);
         true
     }
 
-    /// Gives memory for a request body back.
+    /// Releases `bytes` of memory reserved for a request body.
     pub fn release_body(&self, bytes: usize) {
-        self.body_bytes.set(self.body_bytes.get().saturating_sub(bytes));
+        self.reserved_body_bytes.set(self.reserved_body_bytes.get().saturating_sub(bytes));
     }
 
-    /// Returns the addresses for a client of a region.
+    /// Returns the addresses of the instances that a client in a region should use.
     pub fn addresses(&self, region: &str) -> Vec<SocketAddr> {
         self.roster.borrow().addresses(region, self.now())
     }
 
-    fn budget(&self, service: &Arc<str>) -> RefMut<'_, retry::Budget> {
-        let retries = self.retries.borrow_mut();
-        RefMut::map(retries, |retries| {
-            retries.entry(service.clone()).or_insert_with(|| retry::Budget::new(RETRIES))
+    fn retry_budget(&self, service: &Arc<str>) -> RefMut<'_, retry::Budget> {
+        let retry_budgets = self.retry_budgets.borrow_mut();
+        RefMut::map(retry_budgets, |retry_budgets| {
+            retry_budgets.entry(service.clone()).or_insert_with(|| retry::Budget::new(RETRY_LIMITS))
         })
     }
 
@@ -269,7 +272,7 @@
             return;
         }
         info!(self.log, "stopping"; "in_flight" => self.in_flight.get());
-        self.stopping.set(Some(self.now()));
+        self.stopping_since.set(Some(self.now()));
         self.update_serving();
     }
 
@@ -290,39 +293,43 @@
     }
 }
 
-/// Repetitions of one instance. All instances together may make a fifth of the requests and some;
-/// an instance does not know how many others there are, so it keeps to a share of that.
-const RETRIES: retry::Limits =
+/// The retry limits of one instance. All instances together may add retries of a fifth of the requests
+/// plus a small allowance; an instance does not know how many others there are, so it limits itself
+/// to a share of that.
+const RETRY_LIMITS: retry::Limits =
     retry::Limits { requests_per_retry: 8, burst: 4, time_per_retry: Duration::from_secs(4) };
 
-/// A request that is being answered.
-pub struct Guard(Rc<Gateway>);
+/// Counts one request as in flight until it is dropped.
+pub struct RequestGuard(Rc<Gateway>);
 
-impl Drop for Guard {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.0.in_flight.set(self.0.in_flight.get().saturating_sub(1));
     }
 }
 
-/// The signals that this process handles, from the moment at which it is made.
+/// The handled signals. They are caught from the moment of construction.
 pub struct Signals {
     termination: UnixStream,
     reload: UnixStream,
 }
 
 impl Signals {
-    /// Installs the handlers.
+    /// Installs the signal handlers.
     ///
     /// # Errors
     ///
-    /// Fails if they cannot be installed.
+    /// Fails if a handler or its pipe cannot be installed.
     pub fn install() -> std::io::Result<Self> {
-        Ok(Self { termination: pipe_of(&[SIGTERM, SIGINT])?, reload: pipe_of(&[SIGHUP])? })
+        Ok(Self {
+            termination: signal_stream(&[SIGTERM, SIGINT])?,
+            reload: signal_stream(&[SIGHUP])?,
+        })
     }
 }
 
-/// Returns a stream from which a byte can be read for each of the signals that comes.
-fn pipe_of(signals: &[i32]) -> std::io::Result<UnixStream> {
+/// Returns a stream that yields one byte for each of the given signals received.
+fn signal_stream(signals: &[i32]) -> std::io::Result<UnixStream> {
     let (receiver, sender) = std::os::unix::net::UnixStream::pair()?;
     for signal in signals {
         signal_hook::low_level::pipe::register(*signal, sender.try_clone()?)?;
@@ -331,7 +338,12 @@
     UnixStream::from_std(receiver)
 }
 
-/// Runs until a termination signal has come and all requests are answered or the grace is over.
+/// Runs until a termination signal arrives, then until the instance is idle after
+/// [`IDLE_EXIT_GRACE_FRACTION`] of the grace period or reaches [`FORCED_EXIT_GRACE_FRACTION`] of it.
+///
+/// # Errors
+///
+/// Fails if the signals cannot be read.
 pub async fn run_until_stopped(gateway: Rc<Gateway>, signals: Signals) -> std::io::Result<()> {
     let Signals { mut termination, reload } = signals;
     monoio::spawn(reload_on_signal(gateway.clone(), reload));
@@ -339,15 +351,15 @@
     read?;
     let since = gateway.now();
     gateway.begin_stop();
-    // The store may be away, which must not hold the process up.
+    // Spawned, because the store may be unavailable and must not delay the exit.
     monoio::spawn(super::election::step_down(gateway.clone()));
     let grace = gateway.settings().grace;
     loop {
-        monoio::time::sleep(STOP_POLL).await;
+        monoio::time::sleep(STOP_POLL_INTERVAL).await;
         let elapsed = gateway.now().since(since);
         let is_idle = gateway.in_flight.get() == 0;
-        if (is_idle && elapsed > grace.mul_f64(IDLE_SHARE))
-            || elapsed > grace.mul_f64(RUNNING_SHARE)
+        if (is_idle && elapsed > grace.mul_f64(IDLE_EXIT_GRACE_FRACTION))
+            || elapsed > grace.mul_f64(FORCED_EXIT_GRACE_FRACTION)
         {
             break;
         }
@@ -356,9 +368,9 @@
     Ok(())
 }
 
-/// The part of the grace for which an idle instance stays reachable for clients that still hold its
-/// address.
-const IDLE_SHARE: f64 = 0.6;
+/// The fraction of the grace period for which an idle instance keeps running, for clients that still
+/// have its address cached.
+const IDLE_EXIT_GRACE_FRACTION: f64 = 0.6;
 
 async fn reload_on_signal(gateway: Rc<Gateway>, mut signals: UnixStream) {
     loop {
--- a/crates/orioleroute-node/src/gateway/stream.rs
+++ b/crates/orioleroute-node/src/gateway/stream.rs
@@ -1,24 +1,24 @@
-//! Streams of events, as far as passing them on needs to know them.
+//! Parses server-sent events, as far as relaying them needs it.
 
 use http::{HeaderMap, header};
 
-/// Returns whether an answer is a stream of events.
+/// Returns whether a response is a stream of server-sent events.
 pub fn is_event_stream(headers: &HeaderMap) -> bool {
-    let media = headers.get(header::CONTENT_TYPE).and_then(|value| value.to_str().ok());
-    media.is_some_and(|media| media.starts_with("text/event-stream"))
+    let content_type = headers.get(header::CONTENT_TYPE).and_then(|value| value.to_str().ok());
+    content_type.is_some_and(|content_type| content_type.starts_with("text/event-stream"))
 }
 
-/// Returns the length of the first whole event, its empty line included.
+/// Returns the length in bytes of the first complete event, including its terminating empty line.
 pub fn event_length(input: &[u8]) -> Option<usize> {
-    let end = input.windows(2).position(|pair| pair == b"\n\n").map(|start| start + 2);
-    let end_crlf = input.windows(4).position(|four| four == b"\r\n\r\n").map(|start| start + 4);
-    match (end, end_crlf) {
-        (Some(end), Some(end_crlf)) => Some(end.min(end_crlf)),
-        (end, end_crlf) => end.or(end_crlf),
+    let lf_end = input.windows(2).position(|window| window == b"\n\n").map(|start| start + 2);
+    let crlf_end = input.windows(4).position(|window| window == b"\r\n\r\n").map(|start| start + 4);
+    match (lf_end, crlf_end) {
+        (Some(lf_end), Some(crlf_end)) => Some(lf_end.min(crlf_end)),
+        (lf_end, crlf_end) => lf_end.or(crlf_end),
     }
 }
 
-/// Returns the number of an event, if it has one.
+/// Returns the id of an event, if it has a numeric one.
 pub fn event_id(event: &[u8]) -> Option<u64> {
     let mut lines = event.split(|byte| *byte == b'\n');
     let value = lines.find_map(|line| line.strip_prefix(b"id:"))?;
--- a/crates/orioleroute-node/src/gateway/sync.rs
+++ b/crates/orioleroute-node/src/gateway/sync.rs
@@ -1,5 +1,5 @@
-//! What the instance learns from the platform's store: the configuration, the upstreams, the other
-//! instances and who schedules which availability zone.
+//! Follows the tables of the platform's store: the configuration, the upstreams, the other instances and
+//! the leaders of the availability zones.
 
 use std::rc::Rc;
 
@@ -13,40 +13,40 @@
 use super::leadership::{self, Leader};
 use super::state::Gateway;
 
-/// How long a watch waits for changes. A store that has gone silent is noticed after that and the
-/// client's own slack, within the time in which an instance has to be in touch again.
-const WATCH: Duration = Duration::from_millis(4_000);
+/// How long a watch waits for changes. A store that stops responding is detected after this time plus
+/// the client's own margin, which is within the time in which an instance has to reconnect.
+const WATCH_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// The time before a call that failed is made again.
-const RETRY: Duration = Duration::from_millis(250);
+/// The delay before a failed call is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// The time between two watches of the upstreams. Each one's heartbeat ends a watch, so this bounds
-/// the calls; a leaving upstream may be used for four times as long.
-const UPSTREAM_PACE: Duration = Duration::from_millis(600);
+/// The time between two watches of the upstreams. Each upstream's heartbeat ends a watch, so this bounds
+/// the rate of calls. An upstream that is leaving still accepts requests for four times this time.
+const UPSTREAM_WATCH_INTERVAL: Duration = Duration::from_millis(600);
 
-/// How much longer that time is for each instance beyond [`FEW_INSTANCES`], since all of them together
-/// load the store.
-const PACE_PER_INSTANCE: Duration = Duration::from_millis(15);
+/// The addition to [`UPSTREAM_WATCH_INTERVAL`] for each instance beyond [`BASE_INSTANCES`], because all
+/// instances load the store together.
+const INTERVAL_PER_INSTANCE: Duration = Duration::from_millis(15);
 
-/// The instances up to which the time is not lengthened.
-const FEW_INSTANCES: usize = 10;
+/// The number of other instances up to which the interval is not extended.
+const BASE_INSTANCES: usize = 10;
 
-/// The longest time between two watches of the upstreams: with the delay of an answer well below the
-/// time for which a leaving upstream still takes requests.
-const LONGEST_PACE: Duration = Duration::from_millis(1_300);
+/// The longest time between two watches of the upstreams. Together with the delay of a response it is
+/// well below the time for which a leaving upstream still accepts requests.
+const MAX_UPSTREAM_WATCH_INTERVAL: Duration = Duration::from_millis(1_300);
 
-/// The time between two watches of the operator's table, so that a storm of changes is read in few
+/// The time between two watches of the operator's table, so that a burst of changes is read in few
 /// calls.
-const OPERATOR_PACE: Duration = Duration::from_millis(50);
+const OPERATOR_WATCH_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The table of the instances and of who schedules which zone.
-pub const CLUSTER: &str = "cluster";
+/// The table of the instances and of the leaders of the zones.
+pub const CLUSTER_TABLE: &str = "cluster";
 
-/// The prefix of the rows of instances.
-const MEMBERS: &str = "member/";
+/// The key prefix of the rows of instances.
+const MEMBER_PREFIX: &str = "member/";
 
-/// The prefix of the rows that say who schedules a zone.
-pub const LEADERS: &str = "scheduler/";
+/// The key prefix of the rows that name the leader of a zone.
+pub const LEADER_PREFIX: &str = "scheduler/";
 
 /// Keeps the configuration and the adapters' versions up to date.
 pub async fn watch_operator(gateway: Rc<Gateway>) {
@@ -57,13 +57,15 @@
                 Ok(OperatorRecord::Configuration(configuration)) => {
                     gateway.configure(*configuration);
                 }
-                Ok(OperatorRecord::Announcement(announcement)) => gateway.announce(&announcement),
+                Ok(OperatorRecord::Announcement(announcement)) => {
+                    gateway.record_announcement(&announcement)
+                }
                 Ok(OperatorRecord::Other) => {}
-                Err(error) => warn!(gateway.log, "row unreadable"; "error" => error.to_string()),
+                Err(error) => warn!(gateway.log, "unreadable row"; "error" => error.to_string()),
             }
         }
     };
-    follow(&gateway, records::OPERATOR, |_| OPERATOR_PACE, apply, |_| {}).await;
+    follow(&gateway, records::OPERATOR, |_| OPERATOR_WATCH_INTERVAL, apply, |_| {}).await;
 }
 
 /// Keeps the upstreams up to date.
@@ -85,72 +87,75 @@
                 gateway.registry().apply(changes, now);
             }
         }
-        leadership::list(gateway);
+        leadership::update_engines(gateway);
     };
-    let lose = |gateway: &Rc<Gateway>| gateway.registry().lose(gateway.now());
-    follow(&gateway, records::UPSTREAMS, upstream_pace, apply, lose).await;
+    let on_unavailable = |gateway: &Rc<Gateway>| gateway.registry().lose(gateway.now());
+    follow(&gateway, records::UPSTREAMS, upstream_watch_interval, apply, on_unavailable).await;
 }
 
-/// Announces this instance, and keeps the others and the schedulers up to date.
+/// Registers this instance, and keeps the other instances and the leaders up to date.
 pub async fn watch_members(gateway: Rc<Gateway>) {
-    announce(&gateway).await;
+    register(&gateway).await;
     let apply = |gateway: &Rc<Gateway>, rows: Vec<Row>, is_whole: bool| {
         if is_whole {
-            gateway.leadership.forget_leaders();
+            gateway.leadership.clear_leaders();
         }
         for row in rows {
             apply_member_row(gateway, row);
         }
-        leadership::review(gateway);
+        leadership::reconcile(gateway);
     };
-    follow(&gateway, CLUSTER, |_| RETRY, apply, |_| {}).await;
+    follow(&gateway, CLUSTER_TABLE, |_| RETRY_DELAY, apply, |_| {}).await;
 }
 
-/// Reads a table and then follows its changes, forever.
+/// Reads a table and then watches its changes, forever.
+///
+/// `apply` gets the rows and whether they are the whole table; `on_unavailable` is called after each
+/// failed call.
 async fn follow(
     gateway: &Rc<Gateway>,
     table: &'static str,
-    pace: impl Fn(&Gateway) -> Duration,
+    interval: impl Fn(&Gateway) -> Duration,
     apply: impl Fn(&Rc<Gateway>, Vec<Row>, bool),
-    lose: impl Fn(&Rc<Gateway>),
+    on_unavailable: impl Fn(&Rc<Gateway>),
 ) {
     let mut version = None;
-    let mut is_lost = false;
+    let mut is_unavailable = false;
     loop {
         let read = match version {
             None => gateway.store.read(table).await,
-            Some(version) => gateway.store.watch(table, version, WATCH).await,
+            Some(version) => gateway.store.watch(table, version, WATCH_TIMEOUT).await,
         };
         match read {
             Ok(Rows { rows, version: newest }) => {
-                if std::mem::take(&mut is_lost) {
+                if std::mem::take(&mut is_unavailable) {
                     info!(gateway.log, "store regained"; "table" => table);
                 }
                 let is_whole = version.is_none();
                 version = Some(newest);
                 if is_whole || !rows.is_empty() {
                     apply(gateway, rows, is_whole);
-                    monoio::time::sleep(pace(gateway)).await;
+                    monoio::time::sleep(interval(gateway)).await;
                 }
             }
             Err(Error::Compacted) => {
-                info!(gateway.log, "history dropped, reading anew"; "table" => table);
+                info!(gateway.log, "change history compacted, rereading table"; "table" => table);
                 version = None;
             }
             Err(error) => {
-                if !std::mem::replace(&mut is_lost, true) {
+                if !std::mem::replace(&mut is_unavailable, true) {
                     warn!(gateway.log, "store lost"; "table" => table, "error" => error.to_string());
                 }
-                lose(gateway);
-                monoio::time::sleep(RETRY).await;
+                on_unavailable(gateway);
+                monoio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-fn upstream_pace(gateway: &Gateway) -> Duration {
-    let more = gateway.roster().peers().count().saturating_sub(FEW_INSTANCES) as u32;
-    (UPSTREAM_PACE + PACE_PER_INSTANCE * more).min(LONGEST_PACE)
+fn upstream_watch_interval(gateway: &Gateway) -> Duration {
+    let extra = gateway.roster().peers().count().saturating_sub(BASE_INSTANCES) as u32;
+    (UPSTREAM_WATCH_INTERVAL + INTERVAL_PER_INSTANCE * extra).min(MAX_UPSTREAM_WATCH_INTERVAL)
 }
 
 fn upstream_change(gateway: &Rc<Gateway>, row: Row) -> Change {
@@ -159,45 +164,45 @@
     match records::upstream(&row.key, &value) {
         Ok(entry) => Change::Written(entry),
         Err(error) => {
-            warn!(gateway.log, "row unreadable"; "error" => error.to_string());
+            warn!(gateway.log, "unreadable row"; "error" => error.to_string());
             Change::Removed(id)
         }
     }
 }
 
-/// Writes this instance's row until the store has it.
-async fn announce(gateway: &Rc<Gateway>) {
+/// Writes this instance's row, retrying until the store has it.
+async fn register(gateway: &Rc<Gateway>) {
     let member = gateway.roster().own().clone();
-    let key = format!("{MEMBERS}{}", member.name);
+    let key = format!("{MEMBER_PREFIX}{}", member.name);
     let value = serde_json::to_vec(&member).unwrap_or_default();
-    let write = Write { table: CLUSTER, key, expected: None, value: Some(value) };
+    let write = Write { table: CLUSTER_TABLE, key, expected: None, value: Some(value) };
     loop {
         match gateway.store.commit(std::slice::from_ref(&write)).await {
             Ok(Commit::Done(_) | Commit::Conflict) => return,
-            Err(error) => warn!(gateway.log, "not announced yet"; "error" => error.to_string()),
+            Err(error) => warn!(gateway.log, "registration failed"; "error" => error.to_string()),
         }
-        monoio::time::sleep(RETRY).await;
+        monoio::time::sleep(RETRY_DELAY).await;
     }
 }
 
 fn apply_member_row(gateway: &Rc<Gateway>, row: Row) {
     let now = gateway.now();
-    if let Some(name) = row.key.strip_prefix(MEMBERS) {
+    if let Some(name) = row.key.strip_prefix(MEMBER_PREFIX) {
         let member = row.value.as_deref().map(serde_json::from_slice::<Member>);
         match member {
             None => gateway.roster().remove(name),
             Some(Ok(member)) => gateway.roster().admit(member, now),
             Some(Err(error)) => {
-                warn!(gateway.log, "row unreadable"; "row" => row.key, "error" => error.to_string());
+                warn!(gateway.log, "unreadable row"; "row" => row.key, "error" => error.to_string());
             }
         }
-    } else if let Some(zone) = row.key.strip_prefix(LEADERS) {
+    } else if let Some(zone) = row.key.strip_prefix(LEADER_PREFIX) {
         let leader = row.value.as_deref().map(serde_json::from_slice::<Leader>);
         match leader {
-            None => gateway.leadership.vacate(zone, row.version),
-            Some(Ok(leader)) => gateway.leadership.occupy(zone, leader, row.version),
+            None => gateway.leadership.clear_leader(zone, row.version),
+            Some(Ok(leader)) => gateway.leadership.set_leader(zone, leader, row.version),
             Some(Err(error)) => {
-                warn!(gateway.log, "row unreadable"; "row" => row.key, "error" => error.to_string());
+                warn!(gateway.log, "unreadable row"; "row" => row.key, "error" => error.to_string());
             }
         }
     }
