--- a/crates/orioleroute/src/claim.rs
+++ b/crates/orioleroute/src/claim.rs
@@ -1,8 +1,9 @@
-//! Claims: the rows of the table that let a request run at most once.
+//! Claims: table rows that ensure that a request runs at most once.
 //!
-//! A request that is not repeatable and has an idempotency key is sent only once its row says that
-//! this very request holds the key. Rows are written in groups, one transaction at a time, and an
-//! unknown outcome is settled by reading. `docs/DESIGN.md`, section "Requests", has the reasons.
+//! A request that is not repeatable and has an idempotency key is sent only after its row states
+//! that this very request holds the key. Rows are written in batches, one transaction at a time,
+//! and an unknown outcome is settled by reading the rows. `docs/DESIGN.md`, section "Requests",
+//! gives the reasons.
 
 use std::collections::VecDeque;
 
@@ -14,27 +15,27 @@
 use crate::prelude::*;
 use crate::table::{Expect, Operation, Outcome, Row, Write};
 
-/// Rows written or read at a time, at most; the table's limit for a transaction.
-pub const GROUP: usize = 100;
+/// Maximum number of rows per write or read, which is the table's limit for a transaction.
+pub const MAX_BATCH_ROWS: usize = 100;
 
-/// Transactions of claims that all instances together write in a second, at most.
-pub const WRITES_PER_SECOND: u32 = 200;
+/// Maximum number of claim transactions per second that all instances together write.
+pub const MAX_WRITES_PER_SECOND: u32 = 200;
 
-/// Between two tries to settle rows of unknown state.
+/// Interval between attempts to settle rows of unknown state.
 const SETTLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long after a reply the table is taken to be up even if an operation has no reply.
-const REPLY_LIFE: Duration = Duration::from_secs(1);
+/// How long after a reply the table is considered available even if an operation gets no reply.
+const REPLY_TTL: Duration = Duration::from_secs(1);
 
-/// What a row says of the request that holds the key.
+/// The state of the request that holds a key, as recorded in its row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// It may be running, or may have run.
+    /// The request may be running or may have run.
     Claimed,
-    /// It ran, and its caller had the whole answer.
+    /// The request ran, and its caller received the whole response.
     Finished,
-    /// No part of it was sent, so that the key may be claimed again.
+    /// No part of the request was sent, so the key may be claimed again.
     Abandoned,
 }
 
@@ -45,9 +46,9 @@
     pub claimer: Arc<str>,
     /// The incarnation of that instance.
     pub incarnation: u64,
-    /// A number that tells the claims of one incarnation apart.
+    /// A number that is unique among the claims of one incarnation.
     pub serial: u64,
-    /// What it says.
+    /// The state of the request.
     pub state: State,
 }
 
@@ -60,11 +61,11 @@
     Ran,
     /// A request with the same key may have run.
     MayHaveRun,
-    /// The table did not say in time; the request must not be sent.
+    /// The table did not answer in time; the request must not be sent.
     Unsettled,
 }
 
-/// Where a row is on its way to the state that it should have.
+/// The progress of a row towards its desired state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     /// It waits to be written.
@@ -83,14 +84,14 @@
 struct Entry {
     serial: u64,
     request: Option<key::Request>,
-    wanted: State,
+    desired: State,
     expect: Expect,
     phase: Phase,
     /// Whether a write with an unknown outcome may still take effect.
-    in_doubt: bool,
+    uncertain: bool,
 }
 
-/// Rows under way in one operation.
+/// The rows of an operation in flight.
 #[derive(Debug)]
 struct Batch {
     ticket: Ticket,
@@ -110,7 +111,7 @@
     reading: Option<Batch>,
     next_write: Instant,
     next_read: Instant,
-    replied: Instant,
+    last_reply: Instant,
     is_down: bool,
 }
 
@@ -128,7 +129,7 @@
             reading: None,
             next_write: Instant::ZERO,
             next_read: Instant::ZERO,
-            replied: Instant::ZERO,
+            last_reply: Instant::ZERO,
             is_down: false,
         }
     }
@@ -138,14 +139,14 @@
         format!("claim/{service}/{idempotency}").into()
     }
 
-    /// Begins to claim a row for a request, which [`Claims::take_outcome`] settles.
+    /// Starts to claim a row for a request. [`Claims::handle_outcome`] returns the verdict.
     ///
     /// # Errors
     ///
-    /// Fails with the verdict if that is known without the table.
+    /// Returns the verdict if it is known without asking the table.
     pub fn begin(&mut self, row: &Arc<str>, request: key::Request) -> Result<(), Verdict> {
         if let Some(entry) = self.entries.get(row) {
-            return Err(match entry.wanted {
+            return Err(match entry.desired {
                 State::Claimed => Verdict::MayHaveRun,
                 State::Finished => Verdict::Ran,
                 State::Abandoned => Verdict::Unsettled,
@@ -158,40 +159,41 @@
         let entry = Entry {
             serial: self.next_serial,
             request: Some(request),
-            wanted: State::Claimed,
+            desired: State::Claimed,
             expect: Expect::Absent,
             phase: Phase::Queued,
-            in_doubt: false,
+            uncertain: false,
         };
         self.entries.insert(row.clone(), entry);
         self.queue.push_back(row.clone());
         Ok(())
     }
 
-    /// Ends the claim of a request in the state that is known of it.
+    /// Ends the claim of a request in the known state of the request.
     ///
-    /// With [`State::Claimed`] the row stays as it is for good, since the request may have run.
+    /// With [`State::Claimed`], the row keeps that state permanently, since the request may have
+    /// run.
     pub fn end(&mut self, row: &Arc<str>, request: key::Request, state: State) {
         let Some(entry) = self.entries.get_mut(row) else { return };
         if entry.request != Some(request) {
             return;
         }
         entry.request = None;
-        entry.wanted = state;
+        entry.desired = state;
         match (entry.phase, state) {
             (Phase::Held, State::Claimed) => self.remove(row),
             (Phase::Held, _) => self.enqueue(row),
-            (Phase::Queued, _) if !entry.in_doubt => self.remove(row),
+            (Phase::Queued, _) if !entry.uncertain => self.remove(row),
             _ => {}
         }
     }
 
-    /// Returns whether every row has the state that it should have.
+    /// Returns whether every row has reached its final state.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Returns whether the table has stopped to answer.
+    /// Returns whether the table is considered unavailable.
     pub fn is_down(&self) -> bool {
         self.is_down
     }
@@ -202,61 +204,62 @@
         waiting.filter_map(|entry| entry.request)
     }
 
-    /// Notes whether the table answered some operation, so that an outage is known at once.
-    pub fn note_outcome(&mut self, now: Instant, outcome: &Outcome) {
+    /// Observes the outcome of any table operation, so that an outage is detected at once.
+    pub fn observe_outcome(&mut self, now: Instant, outcome: &Outcome) {
         match outcome {
             Outcome::Rows(_) | Outcome::Written | Outcome::Conflict(_) => {
-                self.replied = now;
+                self.last_reply = now;
                 self.is_down = false;
             }
             Outcome::Failed | Outcome::Unknown => {
-                self.is_down |= now.since(self.replied) > REPLY_LIFE;
+                self.is_down |= now.since(self.last_reply) > REPLY_TTL;
             }
         }
     }
 
-    /// Writes and reads the rows that are due, one group of each at a time.
+    /// Writes and reads the rows that are due, with at most one batch of each in flight.
     ///
-    /// Groups are spaced so that `members` instances stay within [`WRITES_PER_SECOND`] together;
-    /// the first row after a pause goes out at once.
+    /// Writes are spaced so that `members` instances together stay within
+    /// [`MAX_WRITES_PER_SECOND`]. The first write after a pause is sent at once.
     pub fn flush(&mut self, now: Instant, members: usize, effects: &mut Effects) {
         if self.writing.is_none() && now >= self.next_write && !self.queue.is_empty() {
             self.write(effects);
-            self.next_write = now + Duration::from_secs(1) * members as u32 / WRITES_PER_SECOND;
+            self.next_write = now + Duration::from_secs(1) * members as u32 / MAX_WRITES_PER_SECOND;
         }
         if self.reading.is_none() && now >= self.next_read && !self.unread.is_empty() {
             self.read(effects);
         }
     }
 
-    /// Takes the outcome of an operation; returns what it settled, or `None` if it was another's.
-    pub fn take_outcome(
+    /// Handles the outcome of an operation. Returns the verdicts that it led to, or `None` if the
+    /// operation was not one on claims.
+    pub fn handle_outcome(
         &mut self,
         now: Instant,
         ticket: Ticket,
         outcome: &Outcome,
     ) -> Option<Vec<(key::Request, Verdict)>> {
         if let Some(batch) = self.writing.take_if(|batch| batch.ticket == ticket) {
-            return Some(self.take_write(now, &batch.rows, outcome));
+            return Some(self.handle_write(now, &batch.rows, outcome));
         }
         let batch = self.reading.take_if(|batch| batch.ticket == ticket)?;
-        Some(self.take_read(now, &batch.rows, outcome))
+        Some(self.handle_read(now, &batch.rows, outcome))
     }
 
     fn write(&mut self, effects: &mut Effects) {
         let (mut rows, mut writes) = (Vec::new(), Vec::new());
-        while rows.len() < GROUP {
+        while rows.len() < MAX_BATCH_ROWS {
             let Some(row) = self.queue.pop_front() else { break };
             let Some(entry) = self.entries.get_mut(&row) else { continue };
             if entry.phase != Phase::Queued {
                 continue;
             }
-            entry.phase = Phase::Writing(entry.wanted);
+            entry.phase = Phase::Writing(entry.desired);
             let claim = Claim {
                 claimer: self.claimer.clone(),
                 incarnation: self.incarnation,
                 serial: entry.serial,
-                state: entry.wanted,
+                state: entry.desired,
             };
             writes.push(Write::put(row.clone(), entry.expect, &claim));
             rows.push(row);
@@ -268,7 +271,7 @@
     }
 
     fn read(&mut self, effects: &mut Effects) {
-        let count = self.unread.len().min(GROUP);
+        let count = self.unread.len().min(MAX_BATCH_ROWS);
         let rows: Vec<Arc<str>> = self.unread.drain(..count).collect();
         for row in &rows {
             if let Some(entry) = self.entries.get_mut(row) {
@@ -279,7 +282,7 @@
         self.reading = Some(Batch { ticket, rows });
     }
 
-    fn take_write(
+    fn handle_write(
         &mut self,
         now: Instant,
         rows: &[Arc<str>],
@@ -288,24 +291,24 @@
         let mut settled = Vec::new();
         for (index, row) in rows.iter().enumerate() {
             match outcome {
-                Outcome::Written => settled.extend(self.take_written(row)),
+                Outcome::Written => settled.extend(self.handle_written(row)),
                 Outcome::Conflict(unmet) if unmet.contains(&index) => self.mark_unread(row),
                 Outcome::Conflict(_) => self.enqueue(row),
                 Outcome::Unknown if !self.is_down => {
-                    self.doubt(row);
+                    self.mark_uncertain(row);
                     self.mark_unread(row);
                 }
                 Outcome::Unknown => {
-                    self.doubt(row);
-                    settled.extend(self.give_up(now, row));
+                    self.mark_uncertain(row);
+                    settled.extend(self.abandon(now, row));
                 }
-                Outcome::Failed | Outcome::Rows(_) => settled.extend(self.give_up(now, row)),
+                Outcome::Failed | Outcome::Rows(_) => settled.extend(self.abandon(now, row)),
             }
         }
         settled
     }
 
-    fn take_read(
+    fn handle_read(
         &mut self,
         now: Instant,
         rows: &[Arc<str>],
@@ -316,26 +319,30 @@
             match outcome {
                 Outcome::Rows(found) => {
                     let found = found.iter().find(|found| found.key == *row);
-                    settled.extend(self.take_row(row, found));
+                    settled.extend(self.handle_row(row, found));
                 }
-                _ => settled.extend(self.give_up(now, row)),
+                _ => settled.extend(self.abandon(now, row)),
             }
         }
         settled
     }
 
-    fn take_written(&mut self, row: &Arc<str>) -> Option<(key::Request, Verdict)> {
+    fn handle_written(&mut self, row: &Arc<str>) -> Option<(key::Request, Verdict)> {
         let entry = self.entries.get_mut(row)?;
         let Phase::Writing(state) = entry.phase else { return None };
         entry.expect = Expect::Version(entry.expect.next_version());
-        self.take_own(row, state)
+        self.handle_own_claim(row, state)
     }
 
-    /// Goes on from a row that is known to hold this claim in `state`, at the expected version.
-    fn take_own(&mut self, row: &Arc<str>, state: State) -> Option<(key::Request, Verdict)> {
+    /// Advances a row that is known to hold this claim in `state`, at the expected version.
+    fn handle_own_claim(
+        &mut self,
+        row: &Arc<str>,
+        state: State,
+    ) -> Option<(key::Request, Verdict)> {
         let entry = self.entries.get_mut(row)?;
-        entry.in_doubt = false;
-        match (state, entry.wanted, entry.request) {
+        entry.uncertain = false;
+        match (state, entry.desired, entry.request) {
             (State::Claimed, State::Claimed, Some(request)) => {
                 entry.phase = Phase::Held;
                 return Some((request, Verdict::Granted));
@@ -346,16 +353,20 @@
         None
     }
 
-    fn take_row(&mut self, row: &Arc<str>, found: Option<&Row>) -> Option<(key::Request, Verdict)> {
-        let own = found.and_then(|found| self.state_of_own(row, found));
+    fn handle_row(
+        &mut self,
+        row: &Arc<str>,
+        found: Option<&Row>,
+    ) -> Option<(key::Request, Verdict)> {
+        let own = found.and_then(|found| self.own_state(row, found));
         let entry = self.entries.get_mut(row)?;
-        let was = entry.expect;
+        let previous = entry.expect;
         entry.expect = Expect::unchanged(found.map_or(0, |found| found.version));
         if let Some(state) = own {
-            return self.take_own(row, state);
+            return self.handle_own_claim(row, state);
         }
-        let late = entry.in_doubt && entry.expect == was;
-        match (entry.wanted, entry.request, found.map(state_of)) {
+        let may_apply_late = entry.uncertain && entry.expect == previous;
+        match (entry.desired, entry.request, found.map(state_of)) {
             (State::Claimed, Some(request), Some(State::Claimed)) => {
                 self.remove(row);
                 Some((request, Verdict::MayHaveRun))
@@ -368,8 +379,9 @@
                 self.enqueue(row);
                 None
             }
-            // A write of the claim may still take effect, so that the row is taken before it.
-            (State::Abandoned, _, Some(State::Abandoned) | None) if late => {
+            // A write of the claim may still take effect. Writing the row first makes that write
+            // fail its condition.
+            (State::Abandoned, _, Some(State::Abandoned) | None) if may_apply_late => {
                 self.enqueue(row);
                 None
             }
@@ -380,8 +392,8 @@
         }
     }
 
-    /// Returns the state in a row if the claim in it is this instance's present one.
-    fn state_of_own(&self, row: &Arc<str>, found: &Row) -> Option<State> {
+    /// Returns the state in a row if it holds this instance's current claim.
+    fn own_state(&self, row: &Arc<str>, found: &Row) -> Option<State> {
         let claim: Claim = serde_json::from_str(&found.value).ok()?;
         let entry = self.entries.get(row)?;
         let own = claim.claimer == self.claimer
@@ -390,15 +402,15 @@
         own.then_some(claim.state)
     }
 
-    /// Gives up the request that waits for a row, and leaves the row to be settled later.
-    fn give_up(&mut self, now: Instant, row: &Arc<str>) -> Option<(key::Request, Verdict)> {
+    /// Fails the request that waits for a row and leaves the row to be settled later.
+    fn abandon(&mut self, now: Instant, row: &Arc<str>) -> Option<(key::Request, Verdict)> {
         self.next_read = now + SETTLE_INTERVAL;
         let entry = self.entries.get_mut(row)?;
         let request = entry.request.take();
-        if entry.wanted == State::Claimed {
-            entry.wanted = State::Abandoned;
+        if entry.desired == State::Claimed {
+            entry.desired = State::Abandoned;
         }
-        let is_unwritten = !entry.in_doubt && entry.expect == Expect::Absent;
+        let is_unwritten = !entry.uncertain && entry.expect == Expect::Absent;
         match is_unwritten {
             true => self.remove(row),
             false => self.mark_unread(row),
@@ -406,9 +418,9 @@
         Some((request?, Verdict::Unsettled))
     }
 
-    fn doubt(&mut self, row: &Arc<str>) {
+    fn mark_uncertain(&mut self, row: &Arc<str>) {
         if let Some(entry) = self.entries.get_mut(row) {
-            entry.in_doubt = true;
+            entry.uncertain = true;
         }
     }
 
@@ -429,7 +441,8 @@
     }
 }
 
-/// Returns what another's row says; one that cannot be read may stand for a request that ran.
+/// Returns the state in the row of another claim. A row that cannot be parsed counts as claimed,
+/// since its request may have run.
 fn state_of(row: &Row) -> State {
     serde_json::from_str(&row.value).map_or(State::Claimed, |claim: Claim| claim.state)
 }
--- a/crates/orioleroute/src/core.rs
+++ b/crates/orioleroute/src/core.rs
@@ -1,4 +1,4 @@
-//! The core of one instance: events in, effects out.
+//! The state machine of one instance, which handles events and returns effects.
 
 use crate::catalog::Catalog;
 use crate::claim::Claims;
@@ -28,11 +28,11 @@
 mod routes;
 mod spilling;
 
-/// The decisions of one instance, without input or output.
+/// The decision logic of one instance, without I/O.
 ///
-/// The core is deterministic: the same events at the same times give the same effects. It reads no
-/// clock and opens no socket. Whoever embeds it calls [`Core::handle`] with each event and carries
-/// out the effects; the outcomes come back as further events.
+/// The core is deterministic: the same events at the same times produce the same effects. It reads
+/// no clock and opens no socket. The embedding program calls [`Core::handle`] with each event and
+/// applies the returned effects. It passes their outcomes back as further events.
 ///
 /// # Examples
 ///
@@ -69,8 +69,8 @@
     demand: Demand,
     load_time: LoadTime,
     holders: Holders,
-    indexed: u64,
-    listed: bool,
+    indexed_changes: u64,
+    has_listing: bool,
     effects: Effects,
 }
 
@@ -90,22 +90,22 @@
             demand: Demand::default(),
             load_time: LoadTime::default(),
             holders: Holders::default(),
-            indexed: 0,
-            listed: false,
+            indexed_changes: 0,
+            has_listing: false,
             effects: Effects::default(),
         }
     }
 
-    /// Returns a key for a request that is about to arrive.
+    /// Allocates the key under which a request is then passed in with [`Event::Arrived`].
     pub fn admit(&mut self) -> key::Request {
         self.requests.admit()
     }
 
-    /// Takes an event and returns what is to be done about it, in order.
+    /// Handles an event and returns the resulting effects, in the order in which to apply them.
     pub fn handle(&mut self, now: Instant, event: Event) -> Vec<Effect> {
         match event {
             Event::Tick => self.tick(now),
-            Event::Table { ticket, outcome } => self.take_table(now, ticket, &outcome),
+            Event::Table { ticket, outcome } => self.handle_table(now, ticket, &outcome),
             Event::Put { ticket, stored } => {
                 self.config.take_put(ticket, stored, &mut self.effects)
             }
@@ -114,61 +114,63 @@
                     self.apply_document(now);
                 }
             }
-            Event::Message { from, message } => self.take_message(now, &from, &message),
+            Event::Message { from, message } => self.handle_message(now, &from, &message),
             Event::Listed(listings) => {
-                self.listed = true;
+                self.has_listing = true;
                 self.fleet.list(&listings);
-                self.index(now);
+                self.rebuild_ownership(now);
+            }
+            Event::Report { upstream, report } => {
+                self.handle_report(now, upstream, report.as_ref())
             }
-            Event::Report { upstream, report } => self.take_report(now, upstream, report.as_ref()),
             Event::Ordered { ticket, upstream, outcome } => {
-                self.take_ordered(now, ticket, upstream, outcome);
+                self.handle_order_outcome(now, ticket, upstream, outcome);
             }
-            Event::Arrived { request, spec } => self.take_arrival(now, request, spec),
-            Event::Progress { request, progress } => self.take_progress(now, request, progress),
-            Event::Command { ticket, command } => self.take_command(now, ticket, command),
+            Event::Arrived { request, spec } => self.handle_arrival(now, request, spec),
+            Event::Progress { request, progress } => self.handle_progress(now, request, progress),
+            Event::Command { ticket, command } => self.handle_command(now, ticket, command),
             Event::Shutdown => self.membership.leave(now),
         }
-        if self.membership.changes() != self.indexed {
-            self.index(now);
+        if self.membership.changes() != self.indexed_changes {
+            self.rebuild_ownership(now);
         }
         self.flush_claims(now);
         self.effects.drain().collect()
     }
 
-    /// Returns the membership, for reading.
+    /// Returns the membership state.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// Returns the configuration version in force; zero if there is none.
+    /// Returns the version of the active configuration, or zero if there is none.
     pub fn version(&self) -> u64 {
         self.config.version()
     }
 
-    /// Returns the catalog of the document in force, for reading.
+    /// Returns the catalog of the active document.
     pub fn catalog(&self) -> &Catalog {
         &self.catalog
     }
 
-    /// Returns the upstreams, for reading.
+    /// Returns the listed upstreams.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// Returns the requests, for reading.
+    /// Returns the requests without a final answer.
     pub fn requests(&self) -> &Requests {
         &self.requests
     }
 
-    /// Returns whether the instance can answer requests: it is a member, acts by a configuration
-    /// and knows the list of upstreams.
+    /// Returns whether the instance can answer requests: it is a member of its region, has an
+    /// active configuration and has received the list of upstreams.
     pub fn is_ready(&self) -> bool {
-        self.listed && self.membership.is_member() && self.version() > 0
+        self.has_listing && self.membership.is_member() && self.version() > 0
     }
 
-    /// Returns whether the instance has left, every request has had its final answer, and every
-    /// claim is settled or cannot be.
+    /// Returns whether the instance has left its region, every request has its final answer, and
+    /// every claim is settled or cannot be settled because the table is unavailable.
     pub fn is_done(&self) -> bool {
         let settled = self.claims.is_empty() || self.claims.is_down();
         self.membership.has_left() && self.requests.is_empty() && settled
@@ -189,11 +191,11 @@
         self.refuse_overdue(now);
         self.refuse_unclaimed(now);
         self.demand.sweep(now);
-        self.place(now);
+        self.load_awaited(now);
     }
 
-    fn take_table(&mut self, now: Instant, ticket: Ticket, outcome: &crate::table::Outcome) {
-        if self.take_claims(now, ticket, outcome) {
+    fn handle_table(&mut self, now: Instant, ticket: Ticket, outcome: &crate::table::Outcome) {
+        if self.handle_claim_outcome(now, ticket, outcome) {
             return;
         }
         if self.membership.take_outcome(now, ticket, outcome, &mut self.effects) {
@@ -205,9 +207,9 @@
         }
     }
 
-    fn take_message(&mut self, now: Instant, from: &Arc<str>, message: &Message) {
+    fn handle_message(&mut self, now: Instant, from: &Arc<str>, message: &Message) {
         if let Message::Holds { name, held } = message {
-            return self.take_holds(from, name, *held);
+            return self.handle_holds(from, name, *held);
         }
         self.membership.take_message(now, from, message, &mut self.effects);
         if self.config.take_message(from, message, &self.membership, &mut self.effects) {
@@ -215,15 +217,15 @@
         }
     }
 
-    /// Brings the index of owners to the views, the list and the pools.
-    fn index(&mut self, now: Instant) {
-        self.indexed = self.membership.changes();
+    /// Rebuilds the ownership index from the current views, upstreams and pools.
+    fn rebuild_ownership(&mut self, now: Instant) {
+        self.indexed_changes = self.membership.changes();
         self.ownership.rebuild(now, &self.membership, &self.fleet, &self.catalog);
         self.mark_safe();
         self.reroute_waiting(now);
     }
 
-    /// Acts on the document that has just come into force.
+    /// Applies the document that has just become active.
     fn apply_document(&mut self, now: Instant) {
         match self.config.take_news() {
             Some(News::Changes(changes)) => {
@@ -234,16 +236,16 @@
                 self.catalog.apply(document);
             }
         }
-        self.index(now);
+        self.rebuild_ownership(now);
         self.resolve_waiting(now);
         self.reconcile(now);
     }
 
-    /// Routes the waiting requests anew that the document in force answers by another revision.
+    /// Reroutes waiting requests whose model resolves to another revision in the active document.
     fn resolve_waiting(&mut self, now: Instant) {
-        for revision in self.requests.wanted() {
+        for revision in self.requests.awaited_revisions() {
             for key in self.requests.waiting(revision).to_vec() {
-                if self.named(key) != Some(revision) {
+                if self.named_revision(key) != Some(revision) {
                     self.requests.unqueue(key, revision);
                     self.route(now, key);
                 }
@@ -251,7 +253,7 @@
         }
     }
 
-    fn take_command(&mut self, now: Instant, ticket: Ticket, command: Command) {
+    fn handle_command(&mut self, now: Instant, ticket: Ticket, command: Command) {
         let answer = match command {
             Command::Submit { base, document } => {
                 return self.config.submit(now, ticket, base, &document, &mut self.effects);
--- a/crates/orioleroute/src/core/claims.rs
+++ b/crates/orioleroute/src/core/claims.rs
@@ -8,37 +8,42 @@
 use crate::request::{Kind, Ran, Request, State, Target};
 use crate::table::Outcome;
 
-/// The longest wait for a claim; a table that takes longer is as good as down.
+/// Maximum wait for a claim. A table that takes longer is treated as unavailable.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 impl Core {
-    /// Claims a request that may run only once, before any of it is sent.
+    /// Claims a request that may run only once, before any part of it is sent.
     pub(super) fn claim(&mut self, now: Instant, key: key::Request) {
         let Some(request) = self.requests.get_mut(key) else { return };
         let (Target::Model(target) | Target::Service(target)) = &request.spec.target;
         let Some(idempotency) = &request.spec.idempotency else {
-            // Without a key of the caller's there is nothing that another try could match.
+            // Without a caller's idempotency key, a retry could not be matched to this request.
             return self.route(now, key);
         };
         let row = Claims::row(target, idempotency);
         request.state = State::Claiming;
         request.claim = Some(row.clone());
         if let Err(verdict) = self.claims.begin(&row, key) {
-            self.take_verdict(now, key, verdict);
+            self.handle_verdict(now, key, verdict);
         }
     }
 
-    /// Takes the outcome of an operation on claims, and returns whether it was one.
-    pub(super) fn take_claims(&mut self, now: Instant, ticket: Ticket, outcome: &Outcome) -> bool {
-        self.claims.note_outcome(now, outcome);
-        let Some(settled) = self.claims.take_outcome(now, ticket, outcome) else { return false };
+    /// Handles the outcome of a table operation. Returns whether it was an operation on claims.
+    pub(super) fn handle_claim_outcome(
+        &mut self,
+        now: Instant,
+        ticket: Ticket,
+        outcome: &Outcome,
+    ) -> bool {
+        self.claims.observe_outcome(now, outcome);
+        let Some(settled) = self.claims.handle_outcome(now, ticket, outcome) else { return false };
         for (key, verdict) in settled {
-            self.take_verdict(now, key, verdict);
+            self.handle_verdict(now, key, verdict);
         }
         true
     }
 
-    fn take_verdict(&mut self, now: Instant, key: key::Request, verdict: Verdict) {
+    fn handle_verdict(&mut self, now: Instant, key: key::Request, verdict: Verdict) {
         match verdict {
             Verdict::Granted => {
                 if let Some(request) = self.requests.get_mut(key) {
@@ -48,7 +53,7 @@
             }
             Verdict::Ran => self.refuse_as(key, Kind::Conflict, Ran::Ran, None),
             Verdict::MayHaveRun => self.refuse_as(key, Kind::Conflict, Ran::MayHaveRun, None),
-            // This instance has sent nothing of it.
+            // This instance has not sent any part of the request.
             Verdict::Unsettled => self.refuse(key, Kind::Unavailable, Some(RETRY_AFTER)),
         }
     }
@@ -62,7 +67,7 @@
         self.claims.flush(now, members.max(1), &mut self.effects);
     }
 
-    /// Refuses the requests whose claims take too long, of which nothing was sent.
+    /// Refuses the requests whose claims take too long. No part of them was sent.
     pub(super) fn refuse_unclaimed(&mut self, now: Instant) {
         let requests = &self.requests;
         let is_overdue = |key: &key::Request| {
@@ -76,7 +81,7 @@
         }
     }
 
-    /// Ends the claim of a request that is over.
+    /// Ends the claim, if any, of a request that has ended.
     pub(super) fn end_claim(&mut self, key: key::Request, request: &Request, state: claim::State) {
         if let Some(row) = &request.claim {
             self.claims.end(row, key, state);
--- a/crates/orioleroute/src/core/engines.rs
+++ b/crates/orioleroute/src/core/engines.rs
@@ -1,26 +1,26 @@
-//! Orders to the engines that this instance owns, and what they report.
+//! Orders to the engines that this instance owns, and the handling of their reports.
 
 use super::Core;
 use crate::document::Fencing;
 use crate::engine::{self, Report};
-use crate::fleet::{IN_FLIGHT, Residency};
+use crate::fleet::{MAX_REQUEST_DELAY, Residency};
 use crate::key::Ticket;
 use crate::orders::Order;
 use crate::prelude::*;
 use crate::routing::{Decision, Reason};
 
-/// Between two reports asked of an engine.
-const PROBE: Duration = Duration::from_millis(1_000);
+/// Interval between two report requests to an engine.
+const PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
 
 impl Core {
-    /// Asks the owned engines for reports that are due.
+    /// Requests the reports of owned engines that are due.
     pub(super) fn probe(&mut self, now: Instant) {
         for key in self.ownership.mine() {
             let Some(upstream) = self.fleet.get_mut(key) else { continue };
             let engine = self.catalog.pool(&upstream.listing.pool).is_some();
             if engine && !upstream.probing && now >= upstream.next_probe {
                 upstream.probing = true;
-                upstream.next_probe = now + PROBE;
+                upstream.next_probe = now + PROBE_INTERVAL;
                 upstream.probed = now;
                 let address = upstream.listing.address;
                 self.effects.push(Effect::Probe { upstream: key, address });
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Takes an engine's report, and gives its waiting requests what it now has loaded.
-    pub(super) fn take_report(
+    /// Handles an engine's report and dispatches waiting requests to what it now has loaded.
+    pub(super) fn handle_report(
         &mut self,
         now: Instant,
         key: key::Upstream,
@@ -45,20 +45,21 @@
         let catalog = &self.catalog;
         let done = self.fleet.report(now, key, report, |name| catalog.find(name));
         for ticket in done {
-            self.end_settled(key, ticket);
+            self.finish_confirmed_load(key, ticket);
         }
         self.reconcile(now);
         self.serve_waiting(now);
     }
 
-    /// Ends a load that a report has shown to be done before its reply came.
-    fn end_settled(&mut self, key: key::Upstream, ticket: Ticket) {
-        if let Some(order) = self.orders.end(ticket) {
-            self.orders.succeed(key, order.revision);
+    /// Finishes a load that a report confirmed before its reply arrived.
+    fn finish_confirmed_load(&mut self, key: key::Upstream, ticket: Ticket) {
+        if let Some(order) = self.orders.finish(ticket) {
+            self.orders.clear_failures(key, order.revision);
         }
     }
 
-    /// Notes that an engine took an order, and so refuses those of former owners if it checks.
+    /// Records that an engine carried out an order. If it checks fencing tokens, it now rejects the
+    /// orders of previous owners.
     fn fence(&mut self, key: key::Upstream) {
         if self.is_fenced(key) {
             self.ownership.fence(key);
@@ -66,26 +67,26 @@
         }
     }
 
-    /// Brings the marks of the upstreams whose contents may be used to the rights of this instance.
+    /// Updates for each upstream whether this instance may use the revisions loaded on it.
     pub(super) fn mark_safe(&mut self) {
         for (key, upstream) in self.fleet.iter_mut() {
             upstream.safe = self.ownership.is_safe(key);
         }
     }
 
-    /// Takes the outcome of an order.
-    pub(super) fn take_ordered(
+    /// Handles the outcome of an order.
+    pub(super) fn handle_order_outcome(
         &mut self,
         now: Instant,
         ticket: Ticket,
         key: key::Upstream,
         outcome: engine::Outcome,
     ) {
-        let Some(Order { revision, load }) = self.orders.end(ticket) else { return };
+        let Some(Order { revision, load }) = self.orders.finish(ticket) else { return };
         match outcome {
-            engine::Outcome::Done if load => self.orders.succeed(key, revision),
+            engine::Outcome::Done if load => self.orders.clear_failures(key, revision),
             engine::Outcome::Done => {}
-            _ => self.orders.fail(now, key, revision),
+            _ => self.orders.record_failure(now, key, revision),
         }
         match outcome {
             engine::Outcome::Done => self.fence(key),
@@ -94,33 +95,39 @@
         }
         let Some(upstream) = self.fleet.get_mut(key) else { return };
         upstream.end_order(now, ticket, revision, outcome);
-        // What really holds is what the next report says, so it is asked for at once.
+        // Only a report shows what the engine actually holds, so the next one is requested at once.
         upstream.next_probe = now;
         if outcome == engine::Outcome::Done {
-            self.note_done(now, key, revision, load);
+            self.record_done(now, key, revision, load);
         }
         self.serve_waiting(now);
-        self.place(now);
+        self.load_awaited(now);
     }
 
-    /// Learns how long loads take, and tells other homes what is held here.
-    fn note_done(&mut self, now: Instant, key: key::Upstream, revision: key::Revision, load: bool) {
+    /// Updates the estimate of the load time and announces the change to homes in other regions.
+    fn record_done(
+        &mut self,
+        now: Instant,
+        key: key::Upstream,
+        revision: key::Revision,
+        load: bool,
+    ) {
         let resident = self.fleet.get(key).and_then(|upstream| upstream.residents.get(&revision));
         if let Some(resident) = resident.filter(|_| load) {
-            // A resident was last used when its load was ordered.
+            // For a resident that was just loaded, this is the time at which the load was ordered.
             self.load_time.note(now.since(resident.used));
         }
         self.announce(revision);
     }
 
-    /// Unloads what the configuration in force does not have.
+    /// Unloads idle revisions that are not part of the active configuration.
     pub(super) fn reconcile(&mut self, now: Instant) {
-        // Without a document nothing is known of what an engine should hold.
+        // Without a document, it is unknown what an engine should hold.
         if self.config.version() == 0 {
             return;
         }
         let mut dropped = Vec::new();
-        // Only the owner gives orders, and a node owns few of thousands of upstreams.
+        // Only the owner issues orders, and an instance owns few of thousands of upstreams.
         for key in self.ownership.mine() {
             let Some(upstream) = self.fleet.get(key) else { continue };
             for (revision, resident) in &upstream.residents {
@@ -132,7 +139,7 @@
             }
         }
         for (key, revision) in dropped {
-            if self.may_unload(now, key) && !self.orders.is_barred(now, key, revision) {
+            if self.may_unload(now, key) && !self.orders.is_backing_off(now, key, revision) {
                 self.unload(now, key, revision, Reason::Dropped);
             }
         }
@@ -141,7 +148,7 @@
     pub(super) fn load(&mut self, now: Instant, key: key::Upstream, revision: key::Revision) {
         let name = self.catalog.revision(revision).name.clone();
         let order = engine::Order::Load { name };
-        let ticket = self.order(key, revision, order, Reason::Demand);
+        let ticket = self.issue_order(key, revision, order, Reason::Demand);
         if let Some(upstream) = self.fleet.get_mut(key) {
             upstream.begin_load(now, ticket, revision);
         }
@@ -156,14 +163,14 @@
     ) {
         let name = self.catalog.revision(revision).name.clone();
         let order = engine::Order::Unload { name };
-        let ticket = self.order(key, revision, order, reason);
+        let ticket = self.issue_order(key, revision, order, reason);
         if let Some(upstream) = self.fleet.get_mut(key) {
             upstream.begin_unload(now, ticket, revision);
         }
     }
 
-    /// Gives an order to a listed engine, and returns its ticket.
-    fn order(
+    /// Issues an order to a listed engine and returns its ticket.
+    fn issue_order(
         &mut self,
         key: key::Upstream,
         revision: key::Revision,
@@ -173,7 +180,7 @@
         let ticket = self.effects.ticket();
         let Some(upstream) = self.fleet.get(key) else { return ticket };
         let load = matches!(order, engine::Order::Load { .. });
-        self.orders.give(ticket, Order { revision, load });
+        self.orders.add(ticket, Order { revision, load });
         self.effects.push(Effect::Decide(Decision {
             request: None,
             name: order.name().clone(),
@@ -191,25 +198,26 @@
         ticket
     }
 
-    /// Returns whether this instance knows what is in use on an engine well enough to unload.
+    /// Returns whether this instance may unload revisions from an engine at `now`.
     ///
-    /// A former owner's requests are seen only in a report that was sampled after it stopped
-    /// sending, and after what it sent last has arrived.
+    /// Requests of previous owners are visible only in a report that was sampled after those owners
+    /// stopped sending and their last requests arrived at the engine.
     pub(super) fn may_unload(&self, now: Instant, key: key::Upstream) -> bool {
-        let (Some(upstream), Some(alone)) = (self.fleet.get(key), self.ownership.alone_since(key))
+        let (Some(upstream), Some(exclusive_since)) =
+            (self.fleet.get(key), self.ownership.alone_since(key))
         else {
             return false;
         };
-        self.may_order(now, key) && upstream.sampled >= alone + IN_FLIGHT
+        self.may_order(now, key) && upstream.sampled >= exclusive_since + MAX_REQUEST_DELAY
     }
 
-    /// Returns whether this instance may give an engine orders at `now`.
+    /// Returns whether this instance may issue orders to an engine at `now`.
     pub(super) fn may_order(&self, now: Instant, key: key::Upstream) -> bool {
         let fenced = self.is_fenced(key);
         self.membership.holds_lease(now) && self.ownership.is_settled(key, fenced)
     }
 
-    /// Returns whether an engine checks fencing numbers.
+    /// Returns whether an engine checks fencing tokens.
     fn is_fenced(&self, key: key::Upstream) -> bool {
         let pool = self.fleet.get(key).and_then(|engine| self.catalog.pool(&engine.listing.pool));
         pool.is_some_and(|pool| pool.fencing == Fencing::Checked)
--- a/crates/orioleroute/src/core/holding.rs
+++ b/crates/orioleroute/src/core/holding.rs
@@ -1,14 +1,14 @@
-//! What instances of different regions tell each other of the revisions that they hold.
+//! Announcements between regions about the revisions that instances hold.
 
 use super::Core;
-use super::routes::HOPS;
+use super::routes::MAX_HOPS;
 use crate::instance::Instance as Identity;
 use crate::message::Message;
 use crate::prelude::*;
 use crate::routing;
 
 impl Core {
-    /// Tells the homes of a revision in other regions whether this instance holds it.
+    /// Announces to the homes of a revision in other regions whether this instance holds it.
     pub(super) fn announce(&mut self, revision: key::Revision) {
         let candidates = self.candidates(revision).iter();
         let held = candidates
@@ -27,30 +27,30 @@
         }
     }
 
-    /// Takes what a peer says of a revision.
-    pub(super) fn take_holds(&mut self, from: &Arc<str>, name: &str, held: bool) {
+    /// Handles a peer's announcement about a revision.
+    pub(super) fn handle_holds(&mut self, from: &Arc<str>, name: &str, held: bool) {
         if let Some(revision) = self.catalog.find(name) {
-            self.holders.note(revision, from, held);
+            self.holders.update(revision, from, held);
         }
     }
 
-    /// Passes a request on to a region that holds its revision, if that saves enough of the wait,
-    /// and returns whether it did.
-    pub(super) fn leave_region(
+    /// Forwards a request to a region that holds its revision, if that saves enough of the wait for
+    /// a load. Returns whether the request was forwarded.
+    pub(super) fn forward_to_holder(
         &mut self,
         now: Instant,
         key: key::Request,
         revision: key::Revision,
     ) -> bool {
         let Some(request) = self.requests.get(key) else { return false };
-        // A claim binds the request to this instance: another one would take it for a conflict.
-        if request.spec.hops >= HOPS - 1 || request.claim.is_some() {
+        // A claim binds the request to this instance; another one would treat it as a conflict.
+        if request.spec.hops >= MAX_HOPS - 1 || request.claim.is_some() {
             return false;
         }
         if !routing::leaves_region(self.load_wait(revision), self.catalog.policy()) {
             return false;
         }
-        let holder = self.holders.of(revision).find_map(|name| self.member(revision, name));
+        let holder = self.holders.of(revision).find_map(|name| self.remote_member(revision, name));
         let Some((instance, address)) =
             holder.map(|holder| (holder.name.clone(), holder.caller_address))
         else {
@@ -61,7 +61,7 @@
     }
 
     /// Returns the member of another region with this name, if the revision may run there.
-    fn member(&self, revision: key::Revision, name: &str) -> Option<&Identity> {
+    fn remote_member(&self, revision: key::Revision, name: &str) -> Option<&Identity> {
         let revision = self.catalog.revision(revision);
         let own = &self.membership.identity().region;
         let views = self.membership.views().filter(|view| view.region != *own);
--- a/crates/orioleroute/src/core/operators.rs
+++ b/crates/orioleroute/src/core/operators.rs
@@ -1,4 +1,4 @@
-//! What operators are told.
+//! Answers to operators' commands.
 
 use super::Core;
 use crate::operator::{Answer, Explanation, Holding, InstanceStatus, Status, UpstreamStatus};
@@ -6,7 +6,7 @@
 use crate::request::Target;
 
 impl Core {
-    /// Returns what holds where, as far as this instance knows.
+    /// Returns the status of the system as known to this instance.
     pub(super) fn status(&self, now: Instant) -> Status {
         let own = self.membership.identity();
         let instances = self
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Returns why an adapter is where it is.
+    /// Explains where an adapter is loaded and why.
     pub(super) fn explain(&self, model: &Arc<str>) -> Answer {
         let Some(key) = self.catalog.resolve(model) else {
             let reason = format!("no adapter or version is called {model}").into();
@@ -63,9 +63,11 @@
             .collect();
         let reason = match (homes.first(), loaded.is_empty()) {
             (None, _) => "no instance of this region owns an upstream that may run it",
-            (Some(home), _) if *home != own.name => "another instance is home to it",
+            (Some(home), _) if *home != own.name => "another instance is its home",
             (Some(_), true) => "no request has needed it since it was last unloaded",
-            (Some(_), false) => "it was loaded for requests and not needed less than others since",
+            (Some(_), false) => {
+                "it was loaded for requests and has not been the least needed since"
+            }
         };
         Answer::Explanation(Explanation {
             name: self.catalog.revision(key).name.clone(),
@@ -78,7 +80,7 @@
 
     fn holding(&self, now: Instant, key: key::Upstream) -> Holding {
         let Some(upstream) = self.fleet.get(key) else { return Holding::Unknown };
-        if !upstream.is_known(now) {
+        if !upstream.has_fresh_report(now) {
             return Holding::Unknown;
         }
         let dropped =
--- a/crates/orioleroute/src/core/placing.rs
+++ b/crates/orioleroute/src/core/placing.rs
@@ -1,4 +1,4 @@
-//! What is loaded and unloaded for the requests that wait.
+//! Loads and unloads on behalf of waiting requests.
 
 use std::cmp::Reverse;
 
@@ -8,56 +8,57 @@
 use crate::prelude::*;
 use crate::routing::Reason;
 
-/// A load that takes this many times the mean no longer keeps others from being tried.
-const SLOW_LOAD: u32 = 4;
+/// A load that takes longer than this multiple of the mean no longer prevents a load on another
+/// upstream.
+const SLOW_LOAD_FACTOR: u32 = 4;
 
-/// The shortest time that a load is waited for before another upstream is tried.
-const SLOW_LOAD_MIN: Duration = Duration::from_secs(1);
+/// Minimum time to wait for a load before another upstream is tried.
+const MIN_SLOW_LOAD: Duration = Duration::from_secs(1);
 
 impl Core {
-    /// Loads what requests wait for, within the budget.
-    pub(super) fn place(&mut self, now: Instant) {
-        for revision in self.wanted() {
-            if self.orders.loads() >= self.load_budget() {
+    /// Loads the revisions that requests wait for, within the load budget.
+    pub(super) fn load_awaited(&mut self, now: Instant) {
+        for revision in self.awaited_by_priority() {
+            if self.orders.loads_in_flight() >= self.load_budget() {
                 return;
             }
-            self.place_one(now, revision);
+            self.load_awaited_revision(now, revision);
         }
     }
 
-    /// Returns the revisions that requests wait for: the most important, then those waited
-    /// for longest.
-    fn wanted(&self) -> Vec<key::Revision> {
-        let mut wanted = self.requests.wanted();
-        wanted.sort_by_cached_key(|revision| {
+    /// Returns the revisions that requests wait for, sorted by the highest importance and then by
+    /// the earliest arrival among those requests.
+    fn awaited_by_priority(&self) -> Vec<key::Revision> {
+        let mut awaited = self.requests.awaited_revisions();
+        awaited.sort_by_cached_key(|revision| {
             let waiting = self.requests.waiting(*revision);
             let requests = || waiting.iter().filter_map(|key| self.requests.get(*key));
             let importance = requests().map(|request| request.importance).max();
             let first = requests().map(|request| request.arrived).min();
             (Reverse(importance), first)
         });
-        wanted
+        awaited
     }
 
-    fn place_one(&mut self, now: Instant, revision: key::Revision) {
+    fn load_awaited_revision(&mut self, now: Instant, revision: key::Revision) {
         if self.is_loading(now, revision) {
             return;
         }
         match self.plan(now, revision) {
-            Some(plan) => self.carry_out(now, plan, revision),
-            // Room may come soon where a load or an unload is under way.
-            None if self.is_ordered(now, revision) => {}
-            None => self.spill(now, revision),
+            Some(plan) => self.apply_plan(now, plan, revision),
+            // An order in flight may soon free an adapter slot.
+            None if self.has_pending_order(now, revision) => {}
+            None => self.overflow(now, revision),
         }
     }
 
-    /// Loads another copy of a revision whose upstream is full, within the budget.
-    pub(super) fn widen(&mut self, now: Instant, revision: key::Revision) {
-        if self.orders.loads() >= self.load_budget() || self.is_loading(now, revision) {
+    /// Loads another copy of a revision whose upstream is full, within the load budget.
+    pub(super) fn add_replica(&mut self, now: Instant, revision: key::Revision) {
+        if self.orders.loads_in_flight() >= self.load_budget() || self.is_loading(now, revision) {
             return;
         }
         if let Some(plan) = self.plan(now, revision) {
-            self.carry_out(now, plan, revision);
+            self.apply_plan(now, plan, revision);
         }
     }
 
@@ -66,15 +67,17 @@
             .candidates(revision)
             .iter()
             .copied()
-            .filter(|key| self.may_order(now, *key) && !self.orders.is_barred(now, *key, revision))
+            .filter(|key| {
+                self.may_order(now, *key) && !self.orders.is_backing_off(now, *key, revision)
+            })
             .filter_map(|key| self.candidate(key))
             .collect();
         let packing = placement::packing(self.catalog.policy());
-        let worth = |key| (!self.catalog.revision(key).pinned).then(|| self.demand.rate(now, key));
-        placement::plan(now, &self.fleet, candidates, revision, packing, worth)
+        let value = |key| (!self.catalog.revision(key).pinned).then(|| self.demand.rate(now, key));
+        placement::plan(now, &self.fleet, candidates, revision, packing, value)
     }
 
-    fn carry_out(&mut self, now: Instant, plan: Plan, revision: key::Revision) {
+    fn apply_plan(&mut self, now: Instant, plan: Plan, revision: key::Revision) {
         match plan {
             Plan::Load(key) => self.load(now, key, revision),
             Plan::Evict(key, victim) if self.may_unload(now, key) => {
@@ -84,7 +87,8 @@
         }
     }
 
-    /// Returns whether a load is under way that is not much slower than others were.
+    /// Returns whether a load of a revision is in flight that is not much slower than previous
+    /// loads.
     fn is_loading(&self, now: Instant, revision: key::Revision) -> bool {
         self.upstreams(revision).any(|upstream| {
             let resident = upstream.residents.get(&revision);
@@ -94,15 +98,15 @@
         })
     }
 
-    /// Returns whether an order is under way on an upstream that may run a revision.
-    fn is_ordered(&self, now: Instant, revision: key::Revision) -> bool {
+    /// Returns whether an order is in flight to an upstream that may run a revision.
+    fn has_pending_order(&self, now: Instant, revision: key::Revision) -> bool {
         self.upstreams(revision)
             .any(|upstream| upstream.residents.values().any(|held| self.is_pending(now, held)))
     }
 
-    /// Returns whether an order for a resident is under way and may be expected to end soon.
+    /// Returns whether an order for a resident is in flight and expected to end soon.
     fn is_pending(&self, now: Instant, resident: &Resident) -> bool {
-        let timeout = (self.load_time.mean() * SLOW_LOAD).max(SLOW_LOAD_MIN);
+        let timeout = (self.load_time.mean() * SLOW_LOAD_FACTOR).max(MIN_SLOW_LOAD);
         match resident.residency {
             Residency::Loaded => false,
             Residency::Loading => now < resident.used + timeout,
@@ -114,7 +118,8 @@
         self.candidates(revision).iter().filter_map(|key| self.fleet.get(*key))
     }
 
-    /// Returns the loads that this instance may have in transit: its even share, at least one.
+    /// Returns how many loads this instance may have in flight: an even share of the policy's
+    /// limit, but at least one.
     pub(super) fn load_budget(&self) -> u32 {
         let members: usize = self.membership.views().map(|view| view.members.len()).sum();
         (self.catalog.policy().loads_in_transit / members.max(1) as u32).max(1)
--- a/crates/orioleroute/src/core/requests.rs
+++ b/crates/orioleroute/src/core/requests.rs
@@ -1,4 +1,4 @@
-//! Callers' requests, from arrival to the final answer.
+//! The life cycle of callers' requests, from arrival to the final answer.
 
 use super::Core;
 use crate::claim;
@@ -9,28 +9,30 @@
 };
 use crate::routing::{Decision, Reason};
 
-/// Attempts at a request, at most.
-const ATTEMPTS: u32 = 3;
+/// Maximum number of attempts per request.
+const MAX_ATTEMPTS: u32 = 3;
 
-/// Attempts that an engine without the revision may turn away, at most; they do not count as others.
-const MISSES: u32 = 8;
+/// Maximum number of attempts per request that fail because the engine does not have the revision
+/// loaded. They do not count towards [`MAX_ATTEMPTS`].
+const MAX_MISSES: u32 = 8;
 
-/// How long an upstream gets no new work after an exchange with it failed.
-const EJECTION: Duration = Duration::from_millis(1_000);
+/// How long an upstream is ejected after an exchange with it failed.
+const EJECTION_TIME: Duration = Duration::from_millis(1_000);
 
-/// How long an upstream gets no new work after it declined a request; its report comes sooner.
-const DECLINED: Duration = Duration::from_millis(250);
+/// How long an upstream is ejected after it declined a request. Its next report, requested at once,
+/// arrives sooner and shows whether it is draining.
+const DECLINE_EJECTION_TIME: Duration = Duration::from_millis(250);
 
-/// When a caller is told to come back after a passing failure.
+/// The delay after which callers are asked to retry after a transient failure.
 pub(super) const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Core {
-    /// Takes a request that has arrived.
-    pub(super) fn take_arrival(&mut self, now: Instant, key: key::Request, spec: Spec) {
+    /// Handles the arrival of a request.
+    pub(super) fn handle_arrival(&mut self, now: Instant, key: key::Request, spec: Spec) {
         let policy = self.catalog.policy();
         let timeout = spec.timeout.unwrap_or(Duration::from_millis(policy.deadline_ms.into()));
         let queue_timeout = spec.queue_timeout.unwrap_or(request::queue_timeout(timeout));
-        let (revision, known) = match &spec.target {
+        let (revision, exists) = match &spec.target {
             Target::Model(model) => {
                 let revision = self.catalog.resolve(model);
                 (revision, revision.is_some())
@@ -47,85 +49,89 @@
             state: State::Waiting,
             attempts: 0,
             misses: 0,
-            begun: false,
-            passed_to: Vec::new(),
+            response_started: false,
+            forwarded_to: Vec::new(),
             claim: None,
             spec,
         };
         let needs_claim = !request.spec.repeatable;
         self.retries.earn();
         self.requests.fill(key, request);
-        if !known {
+        if !exists {
             return match self.config.version() {
-                // An instance that has just started knows of no adapter yet.
+                // Without a configuration, the instance cannot tell whether the target exists.
                 0 => self.refuse(key, Kind::Unavailable, Some(RETRY_AFTER)),
                 _ => self.refuse(key, Kind::NotFound, None),
             };
         }
-        if needs_claim && !self.passes_on(key) {
+        if needs_claim && !self.has_other_home(key) {
             return self.claim(now, key);
         }
         self.route(now, key);
     }
 
-    /// Takes the progress of a request that was given a step.
-    pub(super) fn take_progress(&mut self, now: Instant, key: key::Request, progress: Progress) {
+    /// Handles progress of the current step of a request.
+    pub(super) fn handle_progress(&mut self, now: Instant, key: key::Request, progress: Progress) {
         match progress {
             Progress::Begun => {
                 if let Some(request) = self.requests.get_mut(key) {
-                    request.begun = true;
+                    request.response_started = true;
                 }
             }
             Progress::Finished => self.end(now, key, claim::State::Finished),
             Progress::Gone => {
-                self.give_up(now, key);
+                self.mark_abandoned(now, key);
                 let is_sent = self.requests.get(key).is_none_or(Request::may_have_run);
                 let state = if is_sent { claim::State::Claimed } else { claim::State::Abandoned };
                 self.end(now, key, state);
             }
-            Progress::Failed(failure) => self.take_failure(now, key, failure),
+            Progress::Failed(failure) => self.handle_failure(now, key, failure),
         }
     }
 
-    /// Ends a request that needs no further step.
+    /// Removes a request that needs no further step and ends its claim.
     fn end(&mut self, now: Instant, key: key::Request, state: claim::State) {
         self.release(now, key);
         if let Some(request) = self.requests.remove(key) {
             self.end_claim(key, &request, state);
         }
-        self.place(now);
+        self.load_awaited(now);
     }
 
-    fn take_failure(&mut self, now: Instant, key: key::Request, failure: Failure) {
+    fn handle_failure(&mut self, now: Instant, key: key::Request, failure: Failure) {
         if failure.may_have_run() {
-            self.give_up(now, key);
+            self.mark_abandoned(now, key);
         }
         self.release(now, key);
         let Some(request) = self.requests.get_mut(key) else { return };
         if let State::Running(upstream) = request.state
             && let Some(upstream) = self.fleet.get_mut(upstream)
         {
-            note_failure(upstream, now, request.revision, failure);
+            record_failure(upstream, now, request.revision, failure);
         }
         request.state = State::Waiting;
         request.spec.may_have_run |= failure.may_have_run();
-        let again = request.spec.repeatable || !failure.may_have_run();
-        // Waiting for a load anew puts no load on an upstream that fails.
-        let is_free = failure == Failure::NotLoaded;
-        request.misses += u32::from(is_free);
-        let is_left = match is_free {
-            true => request.misses < MISSES,
-            false => request.attempts.saturating_sub(request.misses) < ATTEMPTS,
+        let is_retryable = request.spec.repeatable || !failure.may_have_run();
+        // Waiting for another load of the revision adds no load to a failing upstream.
+        let is_miss = failure == Failure::NotLoaded;
+        request.misses += u32::from(is_miss);
+        let attempts_left = match is_miss {
+            true => request.misses < MAX_MISSES,
+            false => request.attempts.saturating_sub(request.misses) < MAX_ATTEMPTS,
         };
-        let in_time = now < request.deadline && is_left;
-        if again && !request.begun && in_time && (is_free || self.retries.spend(now)) {
+        let is_within_limits = now < request.deadline && attempts_left;
+        if is_retryable
+            && !request.response_started
+            && is_within_limits
+            && (is_miss || self.retries.spend(now))
+        {
             return self.route(now, key);
         }
-        let retry_after = again.then_some(RETRY_AFTER);
+        let retry_after = is_retryable.then_some(RETRY_AFTER);
         self.refuse(key, Kind::Upstream, retry_after);
     }
 
-    /// Gives a request its next step.
+    /// Chooses the next step of a request.
     pub(super) fn route(&mut self, now: Instant, key: key::Request) {
         let Some(request) = self.requests.get(key) else { return };
         if now >= request.deadline {
@@ -134,14 +140,14 @@
         if !self.resolve(key) {
             return self.refuse(key, Kind::NotFound, None);
         }
-        if self.passes_on(key) {
+        if self.has_other_home(key) {
             return self.forward(now, key);
         }
-        // One that may be cut off cannot know whether its configuration still is in force.
+        // A possibly partitioned instance cannot tell whether its configuration is still active.
         if !self.membership.may_serve(now) {
             return self.refuse(key, Kind::Unavailable, Some(RETRY_AFTER));
         }
-        if self.is_in_doubt(now, key) {
+        if self.is_uncertain(now, key) {
             return self.refuse(key, Kind::Unavailable, Some(RETRY_AFTER));
         }
         let Some(request) = self.requests.get(key) else { return };
@@ -151,25 +157,25 @@
         }
     }
 
-    /// Brings a request to the revision that it names in the document in force, which may have
-    /// changed since it arrived, and returns whether there still is one.
+    /// Resolves the target of a request in the active document, which may have changed since the
+    /// request arrived. Returns whether the target can still be answered.
     fn resolve(&mut self, key: key::Request) -> bool {
-        let revision = self.named(key);
+        let revision = self.named_revision(key);
         let Some(request) = self.requests.get_mut(key) else { return false };
         let is_model = matches!(request.spec.target, Target::Model(_));
         request.revision = revision;
         revision.is_some() || !is_model
     }
 
-    /// Returns the revision that a request names in the document in force.
-    pub(super) fn named(&self, key: key::Request) -> Option<key::Revision> {
+    /// Returns the revision that a request's model resolves to in the active document.
+    pub(super) fn named_revision(&self, key: key::Request) -> Option<key::Revision> {
         match &self.requests.get(key)?.spec.target {
             Target::Model(model) => self.catalog.resolve(model),
             Target::Service(_) => None,
         }
     }
 
-    /// Refuses the requests that have waited too long for a load.
+    /// Refuses the requests that have waited for a load until their queue deadline.
     pub(super) fn refuse_overdue(&mut self, now: Instant) {
         for key in self.requests.overdue(now) {
             self.refuse(key, Kind::Deadline, Some(RETRY_AFTER));
@@ -200,18 +206,18 @@
         self.effects.push(Effect::Request { request: key, step });
     }
 
-    /// Notes that the upstream of a request may still run it.
-    fn give_up(&mut self, now: Instant, key: key::Request) {
+    /// Records that an upstream may still run a request that this instance no longer waits for.
+    fn mark_abandoned(&mut self, now: Instant, key: key::Request) {
         let Some(request) = self.requests.get(key) else { return };
         let (State::Running(upstream), Some(revision)) = (&request.state, request.revision) else {
             return;
         };
         if let Some(upstream) = self.fleet.get_mut(*upstream) {
-            upstream.give_up(now, revision);
+            upstream.mark_abandoned(now, revision);
         }
     }
 
-    /// Takes a request off the upstream that it ran on.
+    /// Removes a request from the running counts of its upstream.
     fn release(&mut self, now: Instant, key: key::Request) {
         let Some(request) = self.requests.get(key) else { return };
         let State::Running(upstream) = request.state else { return };
@@ -231,7 +237,7 @@
         self.forward_to(now, key, instance, address);
     }
 
-    /// Passes a request on to another instance.
+    /// Forwards a request to another instance.
     pub(super) fn forward_to(
         &mut self,
         now: Instant,
@@ -243,7 +249,7 @@
         let Some(request) = self.requests.get_mut(key) else { return };
         request.state = State::Forwarded;
         request.attempts += 1;
-        request.passed_to.push(instance.clone());
+        request.forwarded_to.push(instance.clone());
         let timeout = request.deadline.since(now);
         let queue_timeout = request.queue_deadline.since(now);
         let may_have_run = request.spec.may_have_run;
@@ -258,14 +264,14 @@
         self.effects.push(Effect::Request { request: key, step });
     }
 
-    /// Ends a request with a refusal, at once.
+    /// Refuses a request, reporting it as possibly run if its state does not rule that out.
     pub(super) fn refuse(&mut self, key: key::Request, kind: Kind, retry_after: Option<Duration>) {
         let may_have_run = self.requests.get(key).is_some_and(Request::may_have_run);
         let ran = if may_have_run { Ran::MayHaveRun } else { Ran::NotRun };
         self.refuse_as(key, kind, ran, retry_after);
     }
 
-    /// Ends a request with a refusal that says whether it ran.
+    /// Refuses a request, reporting whether it ran as given by `ran`.
     pub(super) fn refuse_as(
         &mut self,
         key: key::Request,
@@ -273,7 +279,7 @@
         ran: Ran,
         retry_after: Option<Duration>,
     ) {
-        self.decide(key, None, Reason::Refused, Vec::new());
+        self.log_decision(key, None, Reason::Refused, Vec::new());
         if let Some(request) = self.requests.remove(key) {
             let state = match ran {
                 Ran::NotRun => claim::State::Abandoned,
@@ -285,7 +291,7 @@
         self.effects.push(Effect::Request { request: key, step });
     }
 
-    pub(super) fn decide(
+    pub(super) fn log_decision(
         &mut self,
         key: key::Request,
         chosen: Option<key::Upstream>,
@@ -309,24 +315,25 @@
     }
 }
 
-/// Keeps new work away from an upstream that failed, and believes it about what it holds.
-fn note_failure(
+/// Ejects an upstream after a failed attempt, or removes the revision that it reported as not
+/// loaded.
+fn record_failure(
     upstream: &mut Upstream,
     now: Instant,
     revision: Option<key::Revision>,
     failure: Failure,
 ) {
     match failure {
-        Failure::Unsent | Failure::Broken => upstream.ejected_until = now + EJECTION,
+        Failure::Unsent | Failure::Broken => upstream.ejected_until = now + EJECTION_TIME,
         Failure::NotLoaded => {
             if let Some(revision) = revision {
-                upstream.deny(now, revision);
+                upstream.mark_not_loaded(now, revision);
             }
             upstream.next_probe = now;
         }
-        // One that declines may be leaving, which its report says sooner than the list.
+        // An upstream that declines may be draining, which its report shows before the list does.
         Failure::Declined => {
-            upstream.ejected_until = upstream.ejected_until.max(now + DECLINED);
+            upstream.ejected_until = upstream.ejected_until.max(now + DECLINE_EJECTION_TIME);
             upstream.next_probe = now;
         }
     }
--- a/crates/orioleroute/src/core/routes.rs
+++ b/crates/orioleroute/src/core/routes.rs
@@ -1,4 +1,4 @@
-//! Which instance and which upstream answer a request.
+//! The choice of the instance and the upstream that answer a request.
 
 use super::Core;
 use super::requests::RETRY_AFTER;
@@ -10,8 +10,8 @@
 use crate::request::{Kind, Request, Target};
 use crate::routing::{self, Reason};
 
-/// Instances that may pass a request on, at most.
-pub(super) const HOPS: u8 = 2;
+/// Maximum number of times that instances may forward a request.
+pub(super) const MAX_HOPS: u8 = 2;
 
 impl Core {
     /// Returns the instances that serve a model or service in a region, in order of preference.
@@ -37,20 +37,20 @@
             return self.refuse(key, Kind::Unavailable, Some(RETRY_AFTER));
         }
         match routing::choose(now, &self.fleet, candidates.iter().copied(), revision) {
-            Some((upstream, _)) if !self.has_room(key, upstream) => {
-                if !self.spill_one(now, key, revision) {
+            Some((upstream, _)) if !self.has_capacity(key, upstream) => {
+                if !self.overflow_request(now, key, revision) {
                     self.refuse(key, Kind::Overloaded, Some(RETRY_AFTER));
                 }
             }
             Some((upstream, runners_up)) => {
-                self.decide(key, Some(upstream), Reason::LeastLoaded, runners_up);
+                self.log_decision(key, Some(upstream), Reason::LeastLoaded, runners_up);
                 self.dispatch(now, key, upstream);
                 if self.is_full(upstream) {
-                    self.widen(now, revision);
+                    self.add_replica(now, revision);
                 }
             }
-            None if self.leave_region(now, key, revision) => {}
-            None => self.wait(now, key, revision),
+            None if self.forward_to_holder(now, key, revision) => {}
+            None => self.wait_for_load(now, key, revision),
         }
     }
 
@@ -66,26 +66,32 @@
             .iter()
             .filter(|(_, upstream)| upstream.listing.pool == service.pool && !upstream.is_leaving())
             .min_by_key(|(_, upstream)| {
-                // One that failed lately is better than none.
-                let is_elsewhere = upstream.listing.region != *region;
-                (!upstream.is_open(now), is_elsewhere, upstream.running)
+                // An upstream that failed recently is better than none, so it sorts last.
+                let is_remote = upstream.listing.region != *region;
+                (!upstream.is_open(now), is_remote, upstream.running)
             })
             .map(|(key, _)| key);
         match chosen {
             Some(upstream) => {
-                self.decide(key, Some(upstream), Reason::LeastLoaded, Vec::new());
+                self.log_decision(key, Some(upstream), Reason::LeastLoaded, Vec::new());
                 self.dispatch(now, key, upstream);
             }
             None => self.refuse(key, Kind::Unavailable, Some(RETRY_AFTER)),
         }
     }
 
-    /// Lets a request wait for a load, unless too many already do or it cannot be in time.
-    pub(super) fn wait(&mut self, now: Instant, key: key::Request, revision: key::Revision) {
+    /// Queues a request until its revision is loaded. Refuses it if the queue is full or if the
+    /// wait is expected to last beyond the request's queue deadline.
+    pub(super) fn wait_for_load(
+        &mut self,
+        now: Instant,
+        key: key::Request,
+        revision: key::Revision,
+    ) {
         let Some(request) = self.requests.get(key) else { return };
         let (importance, left) = (request.importance, request.queue_deadline.since(now));
-        let room = self.catalog.revision(revision).queue;
-        if !limits::admits(importance, self.requests.waiting(revision).len(), room) {
+        let queue_limit = self.catalog.revision(revision).queue;
+        if !limits::admits(importance, self.requests.waiting(revision).len(), queue_limit) {
             return self.refuse(key, Kind::Overloaded, Some(RETRY_AFTER));
         }
         let wait = self.load_wait(revision);
@@ -93,33 +99,35 @@
             return self.refuse(key, Kind::Deadline, Some(wait - left));
         }
         self.requests.queue(key, revision);
-        self.decide(key, None, Reason::WaitsForLoad, Vec::new());
-        self.place(now);
+        self.log_decision(key, None, Reason::WaitsForLoad, Vec::new());
+        self.load_awaited(now);
     }
 
     /// Returns how long a request is expected to wait for a revision that is not loaded.
     pub(super) fn load_wait(&self, revision: key::Revision) -> Duration {
-        let others = self.requests.wanted().into_iter().filter(|wanted| *wanted != revision);
+        let others =
+            self.requests.awaited_revisions().into_iter().filter(|awaited| *awaited != revision);
         self.load_time.wait(others.count(), self.load_budget())
     }
 
-    /// Returns whether an upstream takes one more request of this importance.
-    fn has_room(&self, key: key::Request, upstream: key::Upstream) -> bool {
+    /// Returns whether an upstream may take one more request of this request's importance.
+    fn has_capacity(&self, key: key::Request, upstream: key::Upstream) -> bool {
         let importance = self.requests.get(key).map(|request| request.importance);
         let running = self.fleet.get(upstream).map_or(0, |upstream| upstream.running);
         let concurrency = self.candidate(upstream).map_or(u32::MAX, |found| found.concurrency);
         limits::has_room(importance.unwrap_or_default(), running, concurrency)
     }
 
-    /// Returns whether an upstream runs as many requests as it does at full speed.
+    /// Returns whether an upstream runs as many requests as it can run at full speed.
     fn is_full(&self, upstream: key::Upstream) -> bool {
         let running = self.fleet.get(upstream).map_or(0, |upstream| upstream.running);
         self.candidate(upstream).is_some_and(|found| running >= found.concurrency)
     }
 
-    /// Passes on the waiting requests whose home has moved to another instance.
+    /// Reroutes the waiting requests whose home has moved to another instance, which leaves this
+    /// one without an upstream for them.
     pub(super) fn reroute_waiting(&mut self, now: Instant) {
-        for revision in self.requests.wanted() {
+        for revision in self.requests.awaited_revisions() {
             if !self.candidates(revision).is_empty() {
                 continue;
             }
@@ -130,12 +138,12 @@
         }
     }
 
-    /// Gives waiting requests the upstreams that now hold what they wait for.
+    /// Dispatches waiting requests to upstreams that now have their revision loaded.
     pub(super) fn serve_waiting(&mut self, now: Instant) {
         if !self.membership.may_serve(now) {
             return;
         }
-        for revision in self.requests.wanted() {
+        for revision in self.requests.awaited_revisions() {
             if self.config.is_in_doubt(now, &self.catalog.revision(revision).adapter) {
                 continue;
             }
@@ -147,20 +155,20 @@
                     break;
                 };
                 self.requests.unqueue(key, revision);
-                self.decide(key, Some(upstream), Reason::LeastLoaded, runners_up);
+                self.log_decision(key, Some(upstream), Reason::LeastLoaded, runners_up);
                 self.dispatch(now, key, upstream);
             }
         }
     }
 
-    /// Returns whether another instance is home to what a request asks.
-    pub(super) fn passes_on(&self, key: key::Request) -> bool {
+    /// Returns whether a request has another instance as its home.
+    pub(super) fn has_other_home(&self, key: key::Request) -> bool {
         self.next_home(key).is_some()
     }
 
     pub(super) fn next_home(&self, key: key::Request) -> Option<&Identity> {
         let request = self.requests.get(key)?;
-        if request.spec.hops >= HOPS {
+        if request.spec.hops >= MAX_HOPS {
             return None;
         }
         let key = request.revision?;
@@ -174,11 +182,12 @@
             std::iter::once(&own.region).chain(others.filter(|name| **name != own.region));
         regions
             .filter(|region| revision.may_run_in(region))
-            .find_map(|region| self.untried_home(region, revision, &request.passed_to))
+            .find_map(|region| self.untried_home(region, revision, &request.forwarded_to))
             .filter(|home| home.name != own.name)
     }
 
-    /// Returns the first home of a revision in a region among those that a request was not passed to.
+    /// Returns the most preferred home of a revision in a region to which the request was not
+    /// forwarded yet.
     fn untried_home(
         &self,
         region: &str,
@@ -196,8 +205,9 @@
         home.map(|home| &home.instance)
     }
 
-    /// Returns whether a staged document of unknown fate would answer a request differently.
-    pub(super) fn is_in_doubt(&self, now: Instant, key: key::Request) -> bool {
+    /// Returns whether a document that this instance cannot yet confirm or apply may change the
+    /// answer to a request.
+    pub(super) fn is_uncertain(&self, now: Instant, key: key::Request) -> bool {
         let revision = self.requests.get(key).and_then(|request| request.revision);
         revision.is_some_and(|revision| {
             self.config.is_in_doubt(now, &self.catalog.revision(revision).adapter)
--- a/crates/orioleroute/src/demand.rs
+++ b/crates/orioleroute/src/demand.rs
@@ -1,37 +1,38 @@
-//! How often each revision is asked for, with exponential decay.
+//! The request rate of each revision, with exponential decay.
 //!
-//! `docs/POLICY.md`, section "Demand", tells what the figure decides.
+//! `docs/POLICY.md`, section "Demand", explains what the rate is used for.
 
 use slotmap::SecondaryMap;
 
 use crate::prelude::*;
 
 /// The half-life of the count of a revision's requests, in seconds.
-pub const HALF_LIFE_S: f64 = 600.0;
+pub const COUNT_HALF_LIFE_S: f64 = 600.0;
 
-/// The half-life of what was learnt about returns, in seconds.
-const LEARNT_HALF_LIFE_S: f64 = 1_200.0;
+/// The half-life of the returns and idle times observed, in seconds.
+const CELL_HALF_LIFE_S: f64 = 1_200.0;
 
-/// Between two times that the waits of idle revisions are counted in.
-const SWEEP: Duration = Duration::from_secs(5);
+/// Interval at which the idle time of revisions is added up.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// When a revision that is not asked for is forgotten.
-const FORGET: Duration = Duration::from_secs(4 * 3_600);
+/// Time after its last request at which a revision's count is discarded.
+const COUNT_TTL: Duration = Duration::from_secs(4 * 3_600);
 
-/// Returns that the revision's own count is worth against those that were learnt.
+/// The weight of a revision's own count against the observed returns, as a number of returns.
 const PRIOR_RETURNS: f64 = 1.0;
 
-/// Classes of revisions by the logarithm of their count.
-const CLASSES: usize = 16;
+/// Number of classes of revisions, by the logarithm of their count.
+const COUNT_CLASSES: usize = 16;
 
-/// Spans of idle time by their logarithm.
-const AGES: usize = 16;
+/// Number of spans of idle time, by its logarithm.
+const IDLE_SPANS: usize = 16;
 
-/// The expected demand for each revision, in requests a second.
+/// The expected demand for each revision, in requests per second.
 ///
-/// A decayed count tells popular revisions from others, but not one whose session goes on from one
-/// whose session is over. So it is learnt how soon revisions come back: for each class of count and
-/// each span of idle time, the returns that were seen over the seconds that revisions spent there.
+/// A decayed count distinguishes popular revisions from others, but not revisions with an ongoing
+/// session from those whose session is over. So the rate at which revisions are requested again is
+/// measured as well: for each class of count and each span of idle time, the returns observed
+/// divided by the seconds that revisions spent there.
 ///
 /// # Examples
 ///
@@ -51,19 +52,20 @@
 pub struct Demand {
     counts: SecondaryMap<key::Revision, Count>,
     cells: Vec<Cell>,
-    swept: Instant,
+    last_sweep: Instant,
 }
 
 /// A decayed count of requests, as of the last one.
 #[derive(Clone, Copy, Debug)]
 struct Count {
     count: f32,
-    at: Instant,
-    /// Until when the idle time has been counted in.
-    seen: Instant,
+    last_request: Instant,
+    /// Up to when its idle time was added to the cells.
+    counted_until: Instant,
 }
 
-/// What was seen of the revisions of one class after one span of idle time.
+/// The returns and idle seconds observed for the revisions of one class within one span of idle
+/// time.
 #[derive(Clone, Copy, Debug, Default)]
 struct Cell {
     returns: f64,
@@ -74,82 +76,85 @@
     fn default() -> Self {
         Self {
             counts: SecondaryMap::new(),
-            cells: vec![Cell::default(); CLASSES * AGES],
-            swept: Instant::ZERO,
+            cells: vec![Cell::default(); COUNT_CLASSES * IDLE_SPANS],
+            last_sweep: Instant::ZERO,
         }
     }
 }
 
 impl Demand {
-    /// Counts a request for `revision`.
+    /// Records a request for `revision`.
     pub fn note(&mut self, now: Instant, revision: key::Revision) {
         let count = match self.counts.get(revision).copied() {
             Some(count) => {
-                learn(&mut self.cells, now, &count);
-                let index = cell(count.class(), age(now, count));
+                add_idle_time(&mut self.cells, now, &count);
+                let index = cell_index(count.class(), idle_span(now, count));
                 self.cells[index].returns += 1.0;
                 count.decayed(now) + 1.0
             }
             None => 1.0,
         };
-        self.counts.insert(revision, Count { count, at: now, seen: now });
+        self.counts.insert(revision, Count { count, last_request: now, counted_until: now });
     }
 
-    /// Counts in the idle time of all revisions, if that is due.
+    /// Adds up the idle time of all revisions, if that is due.
     pub fn sweep(&mut self, now: Instant) {
-        if now < self.swept + SWEEP {
+        if now < self.last_sweep + SWEEP_INTERVAL {
             return;
         }
-        let kept = (-now.since(self.swept).as_secs_f64() / LEARNT_HALF_LIFE_S).exp2();
-        self.swept = now;
+        let decay = (-now.since(self.last_sweep).as_secs_f64() / CELL_HALF_LIFE_S).exp2();
+        self.last_sweep = now;
         for cell in &mut self.cells {
-            cell.returns *= kept;
-            cell.seconds *= kept;
+            cell.returns *= decay;
+            cell.seconds *= decay;
         }
         let cells = &mut self.cells;
         self.counts.retain(|_, count| {
-            learn(cells, now, count);
-            count.seen = now;
-            now < count.at + FORGET
+            add_idle_time(cells, now, count);
+            count.counted_until = now;
+            now < count.last_request + COUNT_TTL
         });
     }
 
-    /// Returns the expected demand for `revision` in requests a second.
+    /// Returns the expected demand for `revision` in requests per second.
     ///
-    /// A count that decays with half-life *h* and grows at rate *r* settles at *r h* / ln 2, which
-    /// gives the rate that stands in for returns not yet seen.
+    /// A count that decays with half-life *h* and grows at rate *r* converges to *r h* / ln 2. The
+    /// rate that this gives for the revision's own count serves as the prior while few returns were
+    /// observed.
     pub fn rate(&self, now: Instant, revision: key::Revision) -> f64 {
         let Some(count) = self.counts.get(revision) else { return 0.0 };
-        let own = f64::from(count.decayed(now)) * std::f64::consts::LN_2 / HALF_LIFE_S;
-        let learnt = self.cells[cell(count.class(), age(now, *count))];
-        (learnt.returns + PRIOR_RETURNS) / (learnt.seconds + PRIOR_RETURNS / own.max(1e-9))
+        let prior_rate = f64::from(count.decayed(now)) * std::f64::consts::LN_2 / COUNT_HALF_LIFE_S;
+        let observed = self.cells[cell_index(count.class(), idle_span(now, *count))];
+        (observed.returns + PRIOR_RETURNS)
+            / (observed.seconds + PRIOR_RETURNS / prior_rate.max(1e-9))
     }
 }
 
 impl Count {
     fn decayed(&self, now: Instant) -> f32 {
-        let seconds = now.since(self.at).as_secs_f64();
-        self.count * (-seconds / HALF_LIFE_S).exp2() as f32
+        let seconds = now.since(self.last_request).as_secs_f64();
+        self.count * (-seconds / COUNT_HALF_LIFE_S).exp2() as f32
     }
 
-    /// Returns the class by the count at the last request, one for each doubling.
+    /// Returns the class of the count at the last request. There is one class for each doubling.
     fn class(&self) -> usize {
-        (self.count.max(1.0).log2() as usize).min(CLASSES - 1)
+        (self.count.max(1.0).log2() as usize).min(COUNT_CLASSES - 1)
     }
 }
 
-/// Counts in the idle time of a revision since it was last done.
-fn learn(cells: &mut [Cell], now: Instant, count: &Count) {
-    let index = cell(count.class(), age(now, *count));
-    cells[index].seconds += now.since(count.seen).as_secs_f64();
+/// Adds the idle time of a revision since it was last added.
+fn add_idle_time(cells: &mut [Cell], now: Instant, count: &Count) {
+    let index = cell_index(count.class(), idle_span(now, *count));
+    cells[index].seconds += now.since(count.counted_until).as_secs_f64();
 }
 
-fn cell(class: usize, age: usize) -> usize {
-    class * AGES + age
+fn cell_index(class: usize, span: usize) -> usize {
+    class * IDLE_SPANS + span
 }
 
-/// Returns the span of idle time, one for each doubling from a second.
-fn age(now: Instant, count: Count) -> usize {
-    let seconds = now.since(count.at).as_secs_f64();
-    ((seconds + 1.0).log2() as usize).min(AGES - 1)
+/// Returns the span that the idle time falls into. There is one span for each doubling from a
+/// second.
+fn idle_span(now: Instant, count: Count) -> usize {
+    let seconds = now.since(count.last_request).as_secs_f64();
+    ((seconds + 1.0).log2() as usize).min(IDLE_SPANS - 1)
 }
--- a/crates/orioleroute/src/effect.rs
+++ b/crates/orioleroute/src/effect.rs
@@ -1,4 +1,4 @@
-//! What the core asks its surroundings to do.
+//! Actions that the core asks the embedding program to perform.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 use crate::routing::Decision;
 use crate::table::Operation;
 
-/// Something to be done outside the core.
+/// An action to be performed outside the core.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Sends a message to a peer; it may be lost.
@@ -23,14 +23,14 @@
         /// The message.
         message: Message,
     },
-    /// Asks the table service; the outcome comes back with the ticket.
+    /// Runs an operation on the table service. The outcome is returned with the ticket.
     Table {
         /// The ticket.
         ticket: Ticket,
         /// The operation.
         operation: Operation,
     },
-    /// Writes an object; the outcome comes back with the ticket.
+    /// Writes an object. The outcome is returned with the ticket.
     Put {
         /// The ticket.
         ticket: Ticket,
@@ -39,14 +39,14 @@
         /// The object's text.
         value: Arc<str>,
     },
-    /// Reads an object; the outcome comes back with the ticket.
+    /// Reads an object. The outcome is returned with the ticket.
     Get {
         /// The ticket.
         ticket: Ticket,
         /// The object's key.
         key: Arc<str>,
     },
-    /// Gives an order to an engine; the outcome comes back with the ticket.
+    /// Sends an order to an engine. The outcome is returned with the ticket.
     Order {
         /// The ticket.
         ticket: Ticket,
@@ -56,18 +56,18 @@
         address: SocketAddr,
         /// The order.
         order: Order,
-        /// The fencing number, the version of the view under which it is given.
+        /// The fencing token, which is the version of the view under which the order is issued.
         fencing: u64,
     },
-    /// Asks an engine for a report; exactly one [`crate::Event::Report`] comes back, with `None` if
-    /// the engine gave none.
+    /// Requests a report from an engine. Exactly one [`crate::Event::Report`] must follow, with
+    /// `None` if the engine returned no report.
     Probe {
         /// The engine.
         upstream: key::Upstream,
         /// Its address.
         address: SocketAddr,
     },
-    /// Takes the next step of a request.
+    /// Performs the next step of a request.
     Request {
         /// The request.
         request: key::Request,
@@ -98,7 +98,7 @@
         self.list.push(effect);
     }
 
-    /// Returns a ticket that was never used before.
+    /// Returns a new ticket, which was never used before.
     pub fn ticket(&mut self) -> Ticket {
         self.next_ticket += 1;
         Ticket(self.next_ticket)
@@ -111,7 +111,7 @@
         ticket
     }
 
-    /// Takes all effects out.
+    /// Removes and returns all effects.
     pub fn drain(&mut self) -> impl Iterator<Item = Effect> {
         self.list.drain(..)
     }
--- a/crates/orioleroute/src/engine.rs
+++ b/crates/orioleroute/src/engine.rs
@@ -1,4 +1,4 @@
-//! Orders to model engines and the reports that they give.
+//! Orders to model engines and the reports that the engines return.
 
 use std::sync::Arc;
 
@@ -21,7 +21,7 @@
 }
 
 impl Order {
-    /// Returns the served name that the order is about.
+    /// Returns the served name that the order is for.
     pub fn name(&self) -> &Arc<str> {
         match self {
             Self::Load { name } | Self::Unload { name } => name,
@@ -32,31 +32,32 @@
 /// The outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The engine did it.
+    /// The engine carried it out.
     Done,
-    /// The engine refused it because of a higher fencing number.
+    /// The engine refused it because it has seen a higher fencing token.
     Fenced,
-    /// The engine said that it failed.
+    /// The engine replied that it failed.
     Failed,
-    /// No reply came: it may or may not have been done.
+    /// No reply arrived: it may or may not have been carried out.
     Unknown,
 }
 
-/// What an engine says of itself, with a lag.
+/// The state that an engine reports, with a lag.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// A number that differs each time the engine starts, since a restart loses all it held.
+    /// A number that differs each time the engine starts, since a restart discards everything that
+    /// was loaded.
     pub incarnation: u64,
-    /// The served names that are loaded, with the requests running on each.
+    /// The served names that are loaded, with the number of requests running on each.
     pub loaded: Vec<Loaded>,
-    /// The requests that run or wait on the engine.
+    /// The number of requests that run or wait on the engine.
     pub running: u32,
-    /// How old the figures are, in milliseconds.
+    /// The age of the figures, in milliseconds.
     pub age_ms: u32,
-    /// The highest fencing number that the engine has seen; zero if it does not check any.
+    /// The highest fencing token that the engine has seen; zero if it does not check any.
     pub fencing: u64,
-    /// Whether the engine is leaving and takes no new work; engines that do not say so count as
-    /// staying until the platform's list says otherwise.
+    /// Whether the engine is draining and takes no new work. An engine that does not report this
+    /// counts as not draining until the platform's list says otherwise.
     #[serde(default)]
     pub draining: bool,
 }
@@ -66,6 +67,6 @@
 pub struct Loaded {
     /// The served name, `adapter@version`.
     pub name: Arc<str>,
-    /// The requests running on it.
+    /// The number of requests running on it.
     pub running: u32,
 }
--- a/crates/orioleroute/src/event.rs
+++ b/crates/orioleroute/src/event.rs
@@ -1,4 +1,4 @@
-//! What the surroundings tell the core.
+//! Events that the embedding program passes to the core.
 
 use crate::engine;
 use crate::instance::Listing;
@@ -21,18 +21,18 @@
         /// Its outcome.
         outcome: Outcome,
     },
-    /// An object was written, or not.
+    /// The write of an object ended.
     Put {
         /// The ticket.
         ticket: Ticket,
-        /// Whether the object is there.
+        /// Whether the object is stored.
         stored: bool,
     },
-    /// An object was read, or not.
+    /// The read of an object ended.
     Got {
         /// The ticket.
         ticket: Ticket,
-        /// The object's text.
+        /// The object's text, or `None` if it was not read.
         value: Option<Arc<str>>,
     },
     /// A peer sent a message.
@@ -44,11 +44,11 @@
     },
     /// The platform listed the upstream instances.
     Listed(Vec<Listing>),
-    /// An engine reported.
+    /// The request for an engine's report ended.
     Report {
         /// The engine.
         upstream: key::Upstream,
-        /// The report, or `None` if none came.
+        /// The report, or `None` if the engine returned none.
         report: Option<engine::Report>,
     },
     /// An order ended.
@@ -60,21 +60,21 @@
         /// The outcome.
         outcome: engine::Outcome,
     },
-    /// A request arrived under a key taken from [`crate::Core::admit`].
+    /// A request arrived, under a key from [`crate::Core::admit`].
     Arrived {
         /// The request.
         request: key::Request,
-        /// What it asks.
+        /// The request as its caller specified it.
         spec: Spec,
     },
-    /// A request that was given a step made progress.
+    /// The current step of a request made progress.
     Progress {
         /// The request.
         request: key::Request,
         /// What happened.
         progress: Progress,
     },
-    /// An operator gave a command.
+    /// An operator sent a command.
     Command {
         /// The ticket for the answer.
         ticket: Ticket,
@@ -85,5 +85,5 @@
     Shutdown,
 }
 
-/// The longest time between two [`Event::Tick`]s.
+/// Maximum time between two [`Event::Tick`]s.
 pub const TICK: Duration = Duration::from_millis(50);
--- a/crates/orioleroute/src/fleet.rs
+++ b/crates/orioleroute/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The upstreams, what they hold and what runs on them.
+//! The upstreams, the revisions that they hold and the requests that run on them.
 
 use slotmap::SlotMap;
 
@@ -10,46 +10,49 @@
 
 mod order;
 
-pub use order::LATE_ORDER;
+pub use order::MAX_ORDER_DELAY;
 use order::Order;
 
-/// How long a request may take from an instance to the engine.
-pub const IN_FLIGHT: Duration = Duration::from_millis(500);
+/// Maximum time that a request takes from an instance to an engine.
+pub const MAX_REQUEST_DELAY: Duration = Duration::from_millis(500);
 
-/// How long a report is believed.
-pub const REPORT_LIFE: Duration = Duration::from_millis(3_000);
+/// How long a report is considered current.
+pub const REPORT_TTL: Duration = Duration::from_millis(3_000);
 
-/// Where a revision is in its life on an engine.
+/// The state of a revision on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Residency {
-    /// A load was ordered, and may or may not have been done.
+    /// A load was ordered and may or may not have been carried out.
     Loading,
-    /// It answers requests.
+    /// The revision is loaded and answers requests.
     Loaded,
-    /// An unload was ordered, and may or may not have been done; it gets no new requests.
+    /// An unload was ordered and may or may not have been carried out. The revision gets no new
+    /// requests.
     Unloading,
 }
 
 /// A revision on an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Resident {
-    /// Where it is in its life.
+    /// The state of the revision on the engine.
     pub residency: Residency,
-    /// The requests that this instance has running on it.
+    /// The number of requests that this instance is running on it.
     pub running: u32,
-    /// The requests that the engine last said are running on it.
+    /// The number of requests that were running on it according to the engine's last report.
     pub reported: u32,
-    /// When it last had a request.
+    /// When a request of this instance last started or ended on it, initially when it was added.
     pub used: Instant,
-    /// Until when a report may be too old to show a request that was given up.
-    pub unsure_until: Instant,
+    /// Reports sampled before this time may be too old to show a request that this instance
+    /// abandoned.
+    pub uncertain_until: Instant,
 }
 
 impl Resident {
-    /// Returns a revision with `reported` requests on the engine and none of this instance's.
+    /// Returns a resident with `reported` requests on the engine, none of which are this
+    /// instance's.
     pub fn new(residency: Residency, reported: u32, now: Instant) -> Self {
-        let unsure_until = Instant::ZERO;
-        Self { residency, running: 0, reported, used: now, unsure_until }
+        let uncertain_until = Instant::ZERO;
+        Self { residency, running: 0, reported, used: now, uncertain_until }
     }
 }
 
@@ -60,75 +63,76 @@
     pub listing: Listing,
     /// A digest of the name, for rendezvous hashing.
     pub digest: u64,
-    /// What it holds, or is ordered to hold.
+    /// The revisions that it holds or was ordered to hold.
     pub residents: Map<key::Revision, Resident>,
-    /// The requests that this instance has running on it.
+    /// The number of requests that this instance is running on it.
     pub running: u32,
     /// The engine's incarnation, from its last report.
     pub incarnation: u64,
-    /// When the last report was taken.
+    /// When the last report was received.
     pub reported: Option<Instant>,
-    /// A time before which the last report cannot have been sampled, from when it was asked for and
-    /// how old the engine said it was.
+    /// A lower bound for the time at which the last report was sampled, derived from the time of
+    /// its request and the age that the engine stated.
     pub sampled: Instant,
-    /// When the report under way was asked for.
+    /// When the report in flight was requested.
     pub probed: Instant,
-    /// When the next report is asked for.
+    /// When the next report is due to be requested.
     pub next_probe: Instant,
-    /// Until when it gets no new work because calls to it failed.
+    /// Until when it is ejected, that is, gets no new work because calls to it failed.
     pub ejected_until: Instant,
-    /// Whether its last report said that it is leaving, which the list shows later.
+    /// Whether its last report said that it is draining, which the platform's list shows later.
     pub draining: bool,
-    /// Whether this instance owns it and no former owner can unload what it holds.
+    /// Whether this instance owns it and no previous owner can unload what it holds.
     pub safe: bool,
-    /// Whether a report is under way; a second one could be taken for the first.
+    /// Whether a report is in flight. Only one is requested at a time, since two could be mistaken
+    /// for each other.
     pub probing: bool,
     orders: Map<key::Revision, Order>,
 }
 
 impl Upstream {
-    /// Returns whether it is leaving, as the list or its own report says.
+    /// Returns whether it is leaving according to the platform's list or its own report.
     pub fn is_leaving(&self) -> bool {
         self.listing.phase == Phase::Leaving || self.draining
     }
 
-    /// Returns whether new work may be given to it at `now`.
+    /// Returns whether new work may be sent to it at `now`.
     pub fn is_open(&self, now: Instant) -> bool {
         !self.is_leaving() && now >= self.ejected_until
     }
 
-    /// Returns whether a revision that is loaded on it may be used.
+    /// Returns whether a revision is loaded on it and may be used.
     pub fn has_loaded(&self, revision: key::Revision) -> bool {
         self.safe && self.holds(revision)
     }
 
-    /// Returns whether a revision is loaded on it, as far as is known.
+    /// Returns whether a revision is loaded on it, according to orders and reports.
     fn holds(&self, revision: key::Revision) -> bool {
         let resident = self.residents.get(&revision);
         resident.is_some_and(|resident| resident.residency == Residency::Loaded)
     }
 
-    /// Returns whether the last report is still believed at `now`.
-    pub fn is_known(&self, now: Instant) -> bool {
-        self.reported.is_some_and(|taken| now < taken + REPORT_LIFE)
+    /// Returns whether the last report is still current at `now`.
+    pub fn has_fresh_report(&self, now: Instant) -> bool {
+        self.reported.is_some_and(|taken| now < taken + REPORT_TTL)
     }
 
-    /// Notes that a load was ordered; the revision takes a slot from now on.
+    /// Records that a load was ordered. From now on, the revision takes an adapter slot.
     pub fn begin_load(&mut self, now: Instant, ticket: Ticket, revision: key::Revision) {
         let resident = Resident::new(Residency::Loading, 0, now);
         self.residents.insert(revision, resident);
-        self.orders.insert(revision, Order::UnderWay(ticket, now));
+        self.orders.insert(revision, Order::InFlight(ticket, now));
     }
 
-    /// Notes that an unload was ordered; the revision gets no new requests from now on.
+    /// Records that an unload was ordered. From now on, the revision gets no new requests.
     pub fn begin_unload(&mut self, now: Instant, ticket: Ticket, revision: key::Revision) {
         if let Some(resident) = self.residents.get_mut(&revision) {
             resident.residency = Residency::Unloading;
         }
-        self.orders.insert(revision, Order::UnderWay(ticket, now));
+        self.orders.insert(revision, Order::InFlight(ticket, now));
     }
 
-    /// Notes the outcome of an order, unless a report has settled it already.
+    /// Records the outcome of an order, unless a report has already settled the order.
     pub fn end_order(
         &mut self,
         now: Instant,
@@ -136,8 +140,8 @@
         revision: key::Revision,
         outcome: Outcome,
     ) {
-        let Some(Order::UnderWay(given, _)) = self.orders.get(&revision) else { return };
-        if *given != ticket {
+        let Some(Order::InFlight(pending, _)) = self.orders.get(&revision) else { return };
+        if *pending != ticket {
             return;
         }
         if outcome == Outcome::Unknown {
@@ -155,19 +159,19 @@
         }
     }
 
-    /// Notes that the engine denied holding a revision that counts as loaded.
-    pub fn deny(&mut self, now: Instant, revision: key::Revision) {
+    /// Records that the engine turned out not to hold a revision that was considered loaded.
+    pub fn mark_not_loaded(&mut self, now: Instant, revision: key::Revision) {
         if self.holds(revision) {
             self.orders.insert(revision, Order::Ended(now));
-            self.lose(revision);
+            self.remove_resident(revision);
         }
     }
 
-    /// Gives a revision up that the engine does not hold, once none of its requests is left.
+    /// Removes a revision that the engine does not hold, once none of its requests is left.
     ///
-    /// Requests on their way to the engine would run if the revision were loaded again, so that
-    /// their number must not be forgotten.
-    fn lose(&mut self, revision: key::Revision) {
+    /// Requests on their way to the engine would run if the revision were loaded again, so they
+    /// must remain counted.
+    fn remove_resident(&mut self, revision: key::Revision) {
         let Some(resident) = self.residents.get_mut(&revision) else { return };
         if resident.running > 0 {
             resident.residency = Residency::Unloading;
@@ -176,35 +180,41 @@
         }
     }
 
-    /// Notes that a request on a revision was given up while the engine may still run it.
+    /// Records that this instance abandoned a request on a revision while the engine may still run
+    /// it.
     ///
-    /// The revision counts as in use until a report that was sampled after the request must have
-    /// reached the engine shows otherwise.
-    pub fn give_up(&mut self, now: Instant, revision: key::Revision) {
+    /// The revision counts as in use until a report shows otherwise and was sampled late enough
+    /// that the request must have reached the engine before.
+    pub fn mark_abandoned(&mut self, now: Instant, revision: key::Revision) {
         if let Some(resident) = self.residents.get_mut(&revision) {
-            resident.unsure_until = now + IN_FLIGHT;
+            resident.uncertain_until = now + MAX_REQUEST_DELAY;
             resident.reported = resident.reported.max(1);
         }
     }
 
-    /// Compares a revision that the engine holds with the orders given, and returns the ticket of a
-    /// load that is thereby known to be done.
-    fn take_seen(&mut self, now: Instant, revision: key::Revision, running: u32) -> Option<Ticket> {
+    /// Compares a revision that the engine reported with the last order for it. Returns the ticket
+    /// of a load that the report confirms.
+    fn handle_reported(
+        &mut self,
+        now: Instant,
+        revision: key::Revision,
+        running: u32,
+    ) -> Option<Ticket> {
         let sampled = self.sampled;
         let order = self.orders.get(&revision).copied();
         let Some(resident) = self.residents.get_mut(&revision) else {
-            let stale = order.is_some_and(|order| !order.is_disproved_at(sampled));
+            let stale = order.is_some_and(|order| !order.is_refuted_at(sampled));
             if !stale {
                 let residency = Residency::Loaded;
                 self.residents.insert(revision, Resident::new(residency, running, now));
             }
             return None;
         };
-        let least = u32::from(sampled < resident.unsure_until);
-        resident.reported = running.max(least);
+        let lower_bound = u32::from(sampled < resident.uncertain_until);
+        resident.reported = running.max(lower_bound);
         let settled = order.is_none_or(|order| match resident.residency {
-            Residency::Loading | Residency::Loaded => order.is_proved_at(sampled),
-            Residency::Unloading => order.is_disproved_at(sampled),
+            Residency::Loading | Residency::Loaded => order.is_confirmed_at(sampled),
+            Residency::Unloading => order.is_refuted_at(sampled),
         });
         if !settled {
             return None;
@@ -215,25 +225,25 @@
         order.filter(|_| loads).and_then(Order::ticket)
     }
 
-    /// Compares the residents that the engine does not hold with the orders given.
-    fn take_unseen(&mut self, seen: &Set<key::Revision>) {
-        let unseen: Vec<(key::Revision, Residency)> = self
+    /// Compares the residents that the engine did not report with the last orders for them.
+    fn handle_unreported(&mut self, reported_revisions: &Set<key::Revision>) {
+        let unreported: Vec<(key::Revision, Residency)> = self
             .residents
             .iter()
-            .filter(|(revision, _)| !seen.contains(*revision))
+            .filter(|(revision, _)| !reported_revisions.contains(*revision))
             .map(|(revision, resident)| (*revision, resident.residency))
             .collect();
-        for (revision, residency) in unseen {
+        for (revision, residency) in unreported {
             let order = self.orders.get(&revision).copied();
             let settled = order.is_none_or(|order| match (residency, order) {
-                // An unload under way might still take effect on what is loaded after it.
-                (Residency::Unloading, Order::UnderWay(..)) => false,
-                (Residency::Unloading, _) => order.is_proved_at(self.sampled),
-                (Residency::Loading | Residency::Loaded, _) => order.is_disproved_at(self.sampled),
+                // An unload in flight may still take effect on a load that follows it.
+                (Residency::Unloading, Order::InFlight(..)) => false,
+                (Residency::Unloading, _) => order.is_confirmed_at(self.sampled),
+                (Residency::Loading | Residency::Loaded, _) => order.is_refuted_at(self.sampled),
             });
             if settled {
                 self.orders.remove(&revision);
-                self.lose(revision);
+                self.remove_resident(revision);
             }
         }
     }
@@ -247,7 +257,7 @@
 }
 
 impl Fleet {
-    /// Brings the upstreams to the platform's list.
+    /// Updates the upstreams to match the platform's list.
     pub fn list(&mut self, listings: &[Listing]) {
         let listed: Set<&str> = listings.iter().map(|listing| &*listing.name).collect();
         self.upstreams.retain(|_, upstream| listed.contains(&*upstream.listing.name));
@@ -285,7 +295,7 @@
         self.upstreams.get(key)
     }
 
-    /// Returns an upstream for changes, if it is still listed.
+    /// Returns a mutable reference to an upstream, if it is still listed.
     pub fn get_mut(&mut self, key: key::Upstream) -> Option<&mut Upstream> {
         self.upstreams.get_mut(key)
     }
@@ -295,15 +305,15 @@
         self.upstreams.iter()
     }
 
-    /// Returns all upstreams for changes.
+    /// Returns mutable references to all upstreams.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (key::Upstream, &mut Upstream)> {
         self.upstreams.iter_mut()
     }
 
-    /// Takes a report, and returns the tickets of the loads that it shows to be done.
+    /// Applies a report and returns the tickets of the loads that it confirms.
     ///
-    /// The engine's word decides what is loaded, save for orders that its figures are too old for.
-    /// Served names that `find` does not know are passed over.
+    /// The report decides what is loaded, except for orders that are too recent to show in its
+    /// figures. Served names for which `find` returns `None` are ignored.
     pub fn report(
         &mut self,
         now: Instant,
@@ -312,7 +322,7 @@
         find: impl Fn(&str) -> Option<key::Revision>,
     ) -> Vec<Ticket> {
         let Some(upstream) = self.upstreams.get_mut(key) else { return Vec::new() };
-        // An age in whole milliseconds is rounded down.
+        // The reported age is rounded down to whole milliseconds.
         let age = Duration::from_millis(u64::from(report.age_ms) + 1);
         let sampled = upstream.probed - age;
         if sampled < upstream.sampled {
@@ -322,17 +332,17 @@
         upstream.reported = Some(now);
         upstream.incarnation = report.incarnation;
         upstream.draining = report.draining;
-        let mut seen = Set::default();
+        let mut reported_revisions = Set::default();
         let mut done = Vec::new();
         for loaded in &report.loaded {
             let Some(revision) = find(&loaded.name) else { continue };
-            seen.insert(revision);
-            done.extend(upstream.take_seen(now, revision, loaded.running));
+            reported_revisions.insert(revision);
+            done.extend(upstream.handle_reported(now, revision, loaded.running));
         }
-        upstream.take_unseen(&seen);
+        upstream.handle_unreported(&reported_revisions);
         let residents = &upstream.residents;
         upstream.orders.retain(|revision, order| {
-            residents.contains_key(revision) || !order.is_disproved_at(sampled)
+            residents.contains_key(revision) || !order.is_refuted_at(sampled)
         });
         done
     }
--- a/crates/orioleroute/src/holders.rs
+++ b/crates/orioleroute/src/holders.rs
@@ -1,19 +1,19 @@
-//! Which instances of other regions hold which revisions, as they last said.
+//! The instances of other regions that hold each revision, according to their last announcements.
 
 use crate::prelude::*;
 
-/// What instances of other regions said that they hold.
+/// The revisions that instances of other regions have announced as loaded.
 ///
-/// It is a hint: an instance that no longer holds the revision loads it for the request that was
-/// passed on to it, and a hint that is missing costs a load in this region.
+/// These are hints: an instance that no longer holds the revision loads it for the request that was
+/// forwarded to it, and a missing hint costs a load in this region.
 #[derive(Clone, Debug, Default)]
 pub struct Holders {
     by_revision: Map<key::Revision, Vec<Arc<str>>>,
 }
 
 impl Holders {
-    /// Takes what an instance says of a revision.
-    pub fn note(&mut self, revision: key::Revision, instance: &Arc<str>, held: bool) {
+    /// Records whether an instance holds a revision.
+    pub fn update(&mut self, revision: key::Revision, instance: &Arc<str>, held: bool) {
         let instances = self.by_revision.entry(revision).or_default();
         instances.retain(|other| other != instance);
         if held {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Returns the instances that hold a revision, the one that said so last first.
+    /// Returns the instances that hold a revision, the most recent announcement first.
     pub fn of(&self, revision: key::Revision) -> impl Iterator<Item = &Arc<str>> {
         self.by_revision.get(&revision).into_iter().flatten().rev()
     }
--- a/crates/orioleroute/src/limits.rs
+++ b/crates/orioleroute/src/limits.rs
@@ -1,15 +1,16 @@
-//! How much is taken on before requests are refused.
+//! Admission limits, beyond which requests are refused.
 //!
-//! `docs/POLICY.md`, section "Limits", tells how to read the refusals.
+//! `docs/POLICY.md`, section "Limits", explains how to interpret the refusals.
 
 use std::time::Duration;
 
 use crate::document::Importance;
 
-/// Returns how many of `room` places a request of this importance may find taken, in the hundred.
+/// Returns the percentage of a queue's capacity that requests of this importance may use.
 ///
-/// The least important is refused first, since the last places are kept for the others.
-fn share(importance: Importance) -> u32 {
+/// Less important requests are refused first: the rest of the capacity is reserved for more
+/// important ones.
+fn admitted_percent(importance: Importance) -> u32 {
     match importance {
         Importance::Low => 50,
         Importance::Normal => 75,
@@ -17,43 +18,44 @@
     }
 }
 
-/// Returns whether a queue with room for `room` requests takes one more.
+/// Returns whether a queue with `waiting` requests and this capacity admits one more.
 ///
 /// An empty queue always does.
-pub fn admits(importance: Importance, waiting: usize, room: u32) -> bool {
-    waiting == 0 || (waiting as u64) * 100 < u64::from(room) * u64::from(share(importance))
+pub fn admits(importance: Importance, waiting: usize, capacity: u32) -> bool {
+    waiting == 0
+        || (waiting as u64) * 100 < u64::from(capacity) * u64::from(admitted_percent(importance))
 }
 
-/// Returns whether an upstream at `running` requests takes one more.
+/// Returns whether an upstream with `running` requests may take one more.
 ///
-/// Beyond its concurrency, requests wait on the engine for a place in the batch; one further batch
-/// is the most that may wait there.
+/// Requests beyond the upstream's concurrency wait on the engine until they can join the batch. At
+/// most one further batch may wait there.
 pub fn has_room(importance: Importance, running: u32, concurrency: u32) -> bool {
     running < concurrency || admits(importance, (running - concurrency) as usize, concurrency)
 }
 
-/// A running estimate of how long a load takes, from the order to its end.
+/// A moving average of how long a load takes, from the order to its end.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadTime {
     mean: Duration,
 }
 
-/// What one load adds to the estimate is its difference divided by this.
+/// Each load changes the estimate by its difference from the estimate, divided by this.
 const SMOOTHING: u32 = 8;
 
 /// The estimate before the first load.
-const FIRST_LOAD: Duration = Duration::from_millis(250);
+const INITIAL_LOAD_TIME: Duration = Duration::from_millis(250);
 
 impl Default for LoadTime {
     fn default() -> Self {
-        Self { mean: FIRST_LOAD }
+        Self { mean: INITIAL_LOAD_TIME }
     }
 }
 
 impl LoadTime {
-    /// Takes the time of a load that has ended.
-    pub fn note(&mut self, taken: Duration) {
-        self.mean = (self.mean * (SMOOTHING - 1) + taken) / SMOOTHING;
+    /// Updates the estimate with the duration of a load that has ended.
+    pub fn note(&mut self, duration: Duration) {
+        self.mean = (self.mean * (SMOOTHING - 1) + duration) / SMOOTHING;
     }
 
     /// Returns the estimate.
@@ -61,8 +63,8 @@
         self.mean
     }
 
-    /// Returns the expected wait for a load behind `ahead` others when `at_once` go in parallel.
-    pub fn wait(&self, ahead: usize, at_once: u32) -> Duration {
-        self.mean + self.mean * (ahead as u32) / at_once.max(1)
+    /// Returns the expected wait for a load behind `ahead` others, with `parallel` loads at a time.
+    pub fn wait(&self, ahead: usize, parallel: u32) -> Duration {
+        self.mean + self.mean * (ahead as u32) / parallel.max(1)
     }
 }
--- a/crates/orioleroute/src/orders.rs
+++ b/crates/orioleroute/src/orders.rs
@@ -1,18 +1,18 @@
-//! Orders to engines that are under way, and when a failed one may be given again.
+//! Orders to engines that are in flight, and the backoff after failed ones.
 
 use crate::key::Ticket;
 use crate::prelude::*;
 
-/// The wait after the first failure of an order; it doubles with each further one.
-pub const BACKOFF: Duration = Duration::from_millis(250);
+/// The backoff after the first failure of an order. It doubles with each further failure.
+pub const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
 
-/// The longest wait after failures.
-pub const BACKOFF_MAX: Duration = Duration::from_secs(10);
+/// The maximum backoff after failures.
+pub const MAX_BACKOFF: Duration = Duration::from_secs(10);
 
-/// Failures that are remembered although their wait is over, at most.
-const REMEMBERED: usize = 4_096;
+/// Maximum number of failures that are kept although their backoff is over.
+const MAX_FAILURES: usize = 4_096;
 
-/// An order under way.
+/// An order in flight.
 #[derive(Clone, Copy, Debug)]
 pub struct Order {
     /// The revision.
@@ -21,47 +21,52 @@
     pub load: bool,
 }
 
-/// The orders under way and the failures of those that ended.
+/// The orders in flight, and the failures of those that ended.
 #[derive(Debug, Default)]
 pub struct Orders {
-    under_way: Map<Ticket, Order>,
+    in_flight: Map<Ticket, Order>,
     failures: Map<(key::Upstream, key::Revision), (u32, Instant)>,
 }
 
 impl Orders {
-    /// Notes an order as given.
-    pub fn give(&mut self, ticket: Ticket, order: Order) {
-        self.under_way.insert(ticket, order);
+    /// Adds an order that was issued.
+    pub fn add(&mut self, ticket: Ticket, order: Order) {
+        self.in_flight.insert(ticket, order);
     }
 
     /// Removes an order that ended.
-    pub fn end(&mut self, ticket: Ticket) -> Option<Order> {
-        self.under_way.remove(&ticket)
+    pub fn finish(&mut self, ticket: Ticket) -> Option<Order> {
+        self.in_flight.remove(&ticket)
     }
 
-    /// Returns the loads under way.
-    pub fn loads(&self) -> u32 {
-        self.under_way.values().filter(|order| order.load).count() as u32
+    /// Returns the number of loads in flight.
+    pub fn loads_in_flight(&self) -> u32 {
+        self.in_flight.values().filter(|order| order.load).count() as u32
     }
 
-    /// Notes a failure, which bars the same order for a while.
-    pub fn fail(&mut self, now: Instant, upstream: key::Upstream, revision: key::Revision) {
-        if self.failures.len() >= REMEMBERED {
+    /// Records a failed order, which may be issued again only after a backoff.
+    pub fn record_failure(
+        &mut self,
+        now: Instant,
+        upstream: key::Upstream,
+        revision: key::Revision,
+    ) {
+        if self.failures.len() >= MAX_FAILURES {
             self.failures.retain(|_, (_, until)| now < *until);
         }
         let (count, until) = self.failures.entry((upstream, revision)).or_default();
-        let wait = BACKOFF.saturating_mul(1 << (*count).min(10)).min(BACKOFF_MAX);
+        let wait = INITIAL_BACKOFF.saturating_mul(1 << (*count).min(10)).min(MAX_BACKOFF);
         *count += 1;
         *until = now + wait;
     }
 
-    /// Forgets the failures of an order that succeeded.
-    pub fn succeed(&mut self, upstream: key::Upstream, revision: key::Revision) {
+    /// Clears the failures of an order that succeeded.
+    pub fn clear_failures(&mut self, upstream: key::Upstream, revision: key::Revision) {
         self.failures.remove(&(upstream, revision));
     }
 
-    /// Returns whether an order is barred at `now` by its failures.
-    pub fn is_barred(
+    /// Returns whether an order must not be issued yet at `now` because of its failures.
+    pub fn is_backing_off(
         &self,
         now: Instant,
         upstream: key::Upstream,
--- a/crates/orioleroute/src/placement.rs
+++ b/crates/orioleroute/src/placement.rs
@@ -1,4 +1,4 @@
-//! The choice of what to load and what to unload.
+//! Decisions on which revisions to load and to unload.
 //!
 //! `docs/POLICY.md`, section "Placement", gives the reasons and the measurements.
 
@@ -6,33 +6,34 @@
 use crate::fleet::{Fleet, Residency, Resident, Upstream};
 use crate::prelude::*;
 
-/// How strongly batches count in evictions when both weights of the policy are the same.
-const PACKING: f64 = 2.0;
+/// The packing factor when both weights of the policy are the same; see [`packing`].
+const BASE_PACKING: f64 = 2.0;
 
 /// An upstream that may load a revision.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
     /// The upstream.
     pub upstream: key::Upstream,
-    /// The revisions that it holds at a time.
+    /// The number of revisions that it holds at a time.
     pub slots: u32,
-    /// The requests that it runs at a time at full speed.
+    /// The number of requests that it runs at a time at full speed.
     pub concurrency: u32,
 }
 
-/// Returns how much fuller batches count against a load, from the weights of the policy.
+/// Returns the packing factor from the weights of the policy: how strongly evictions favour
+/// upstreams with fuller batches over the cost of a load.
 ///
-/// Zero evicts by demand alone. At 2 the revisions of an upstream at full concurrency are worth
-/// 1/e² of those of an idle one, so that new work joins batches that run.
+/// Zero evicts by demand alone. At 2, the revisions of an upstream at full concurrency are worth
+/// 1/e² of those of an idle one, so that new work joins running batches.
 pub fn packing(policy: &Policy) -> f64 {
     if policy.batch_weight == 0.0 {
         return 0.0;
     }
-    // Weights may be zero, and more than this would evict in disregard of demand.
-    PACKING * (policy.batch_weight / policy.stall_weight).min(4.0)
+    // Weights may be zero, and a higher ratio would evict regardless of demand.
+    BASE_PACKING * (policy.batch_weight / policy.stall_weight).min(4.0)
 }
 
-/// What to do to make a revision answer requests.
+/// How to get a revision loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Plan {
     /// Load it on this upstream.
@@ -50,27 +51,28 @@
     }
 }
 
-/// How much a revision at hand is worth keeping, in requests a second; `None` keeps it always.
-pub type Worth = Option<f64>;
+/// The value of keeping a loaded revision, in requests per second. `None` means that it is never
+/// evicted.
+pub type RetentionValue = Option<f64>;
 
-/// Returns how to make room for `revision` on one of `candidates`.
+/// Returns how to get `revision` loaded on one of `candidates`, if any of them permits it.
 ///
-/// An upstream with a free slot goes first; then the revision is evicted whose removal is expected
-/// to cost least, in loads and, by `packing`, in batches that stay small. The one that was idle
-/// longest goes first among equals. One in use, by this instance or by the engine's own report, is
-/// never evicted.
+/// An upstream with a free adapter slot is preferred. Otherwise, the revision is evicted whose
+/// removal is expected to cost least, in loads and, weighted by `packing`, in batches that stay
+/// small. Among equals, the one that was idle longest is evicted. A revision in use, according to
+/// this instance or the engine's report, is never evicted.
 pub fn plan(
     now: Instant,
     fleet: &Fleet,
     candidates: impl IntoIterator<Item = Candidate>,
     revision: key::Revision,
     packing: f64,
-    worth: impl Fn(key::Revision) -> Worth,
+    value: impl Fn(key::Revision) -> RetentionValue,
 ) -> Option<Plan> {
     let open: Vec<(Candidate, &Upstream)> = candidates
         .into_iter()
         .filter_map(|candidate| Some((candidate, fleet.get(candidate.upstream)?)))
-        .filter(|(_, upstream)| upstream.is_open(now) && upstream.is_known(now))
+        .filter(|(_, upstream)| upstream.is_open(now) && upstream.has_fresh_report(now))
         .filter(|(_, upstream)| !upstream.residents.contains_key(&revision))
         .collect();
     let free = open
@@ -83,12 +85,12 @@
     let copies = copies(open.iter().map(|(_, upstream)| *upstream));
     let mut best: Option<(f64, Instant, Plan)> = None;
     for (candidate, upstream) in &open {
-        let fill = f64::from(upstream.running) / f64::from(candidate.concurrency);
-        let discount = (-packing * fill.min(1.0)).exp();
-        for (victim, used) in idle(upstream) {
-            let Some(worth) = worth(victim) else { continue };
-            // A copy on another upstream answers without a load.
-            let cost = if copies[&victim] > 1 { 0.0 } else { worth * discount };
+        let utilization = f64::from(upstream.running) / f64::from(candidate.concurrency);
+        let discount = (-packing * utilization.min(1.0)).exp();
+        for (victim, used) in idle_residents(upstream) {
+            let Some(value) = value(victim) else { continue };
+            // A copy on another upstream can answer requests without a load.
+            let cost = if copies[&victim] > 1 { 0.0 } else { value * discount };
             let better = best.is_none_or(|(least, oldest, _)| {
                 cost.total_cmp(&least).then(used.cmp(&oldest)).is_lt()
             });
@@ -101,7 +103,7 @@
 }
 
 /// Returns the revisions that may be unloaded, with when each was last used.
-fn idle(upstream: &Upstream) -> impl Iterator<Item = (key::Revision, Instant)> {
+fn idle_residents(upstream: &Upstream) -> impl Iterator<Item = (key::Revision, Instant)> {
     let unused = |resident: &Resident| {
         resident.residency == Residency::Loaded && resident.running == 0 && resident.reported == 0
     };
--- a/crates/orioleroute/src/request.rs
+++ b/crates/orioleroute/src/request.rs
@@ -1,4 +1,4 @@
-//! Callers' requests, the steps they are given and how they end.
+//! Callers' requests, their steps and their outcomes.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 use crate::document::Importance;
 use crate::prelude::*;
 
-/// What a request is for.
+/// The target of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Target {
     /// An adapter, or `adapter@version`, as the API's `model` field names it.
@@ -16,29 +16,31 @@
     Service(Arc<str>),
 }
 
-/// What a caller asks.
+/// A request as its caller specified it.
 #[derive(Clone, Debug)]
 pub struct Spec {
-    /// What it is for.
+    /// The model or service that the request is for.
     pub target: Target,
-    /// How much it matters, if the caller says so; else as the adapter is configured.
+    /// The importance, if the caller set one. Otherwise, the adapter's configured importance
+    /// applies.
     pub importance: Option<Importance>,
-    /// How long the caller waits, if it says so.
+    /// How long the caller waits, if it set a timeout.
     pub timeout: Option<Duration>,
-    /// How long it may wait for a load in all, if an instance that passed it on says so.
+    /// How long it may wait for loads in total, if an instance that forwarded it set a limit.
     pub queue_timeout: Option<Duration>,
     /// Whether it may be sent again when its outcome is unknown.
     pub repeatable: bool,
     /// The caller's idempotency key.
     pub idempotency: Option<Arc<str>>,
-    /// The instances that passed it on.
+    /// The number of instances that have forwarded it.
     pub hops: u8,
-    /// Whether an attempt may have run, after which "not run" can never be said again.
+    /// Whether an attempt may have run. If so, the request must never be reported as not run.
     pub may_have_run: bool,
 }
 
 impl Spec {
-    /// Returns a repeatable request straight from a caller who states nothing but the target.
+    /// Returns a repeatable request that comes directly from a caller and specifies only the
+    /// target.
     pub fn new(target: Target) -> Self {
         Self {
             target,
@@ -58,24 +60,25 @@
 pub enum Step {
     /// Sends it to an upstream.
     Dispatch(Dispatch),
-    /// Passes it on to another instance.
+    /// Forwards it to another instance.
     Forward {
         /// The instance.
         instance: Arc<str>,
-        /// Where it takes callers.
+        /// The address at which it accepts callers.
         address: SocketAddr,
-        /// The time that is left.
+        /// The time that is left until the deadline.
         timeout: Duration,
-        /// The part of it that the request may wait for a load.
+        /// The part of that time for which the request may wait for loads.
         queue_timeout: Duration,
-        /// Whether an attempt may have run, which the other instance has to know.
+        /// Whether an attempt may have run, so that the other instance does not report the request
+        /// as not run.
         may_have_run: bool,
     },
-    /// Answers it with a refusal; the request is over.
+    /// Answers it with a refusal, which ends the request.
     Refuse(Refusal),
 }
 
-/// Where a request is sent.
+/// An attempt to be sent to an upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Dispatch {
     /// The upstream's name.
@@ -84,9 +87,9 @@
     pub address: SocketAddr,
     /// The served name that the engine must answer under; `None` for a plain service.
     pub name: Option<Arc<str>>,
-    /// How much it matters, for engines that honour priorities.
+    /// The importance, for engines that honour priorities.
     pub importance: Importance,
-    /// The time that is left.
+    /// The time that is left until the deadline.
     pub timeout: Duration,
     /// The number of this attempt, from 1.
     pub attempt: u32,
@@ -110,9 +113,9 @@
 pub enum Kind {
     /// No such adapter, version or service.
     NotFound,
-    /// Too many requests wait.
+    /// Too many requests are waiting.
     Overloaded,
-    /// Nothing that can answer is reachable now.
+    /// Nothing that can answer the request is available at the moment.
     Unavailable,
     /// Its deadline cannot be met.
     Deadline,
@@ -122,40 +125,40 @@
     Upstream,
 }
 
-/// A refusal.
+/// A refusal, the final answer to a request that is not served.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Refusal {
-    /// Why.
+    /// Why the request was refused.
     pub kind: Kind,
     /// Whether it ran.
     pub ran: Ran,
-    /// When to come back, if that helps.
+    /// When to retry, if a retry may succeed.
     pub retry_after: Option<Duration>,
 }
 
-/// How a step went.
+/// The progress of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// The first part of the answer went to the caller, so there can be no second attempt.
+    /// The first part of the response was sent to the caller, so there can be no further attempt.
     Begun,
     /// The attempt failed.
     Failed(Failure),
-    /// The whole answer went to the caller.
+    /// The whole response was sent to the caller.
     Finished,
-    /// The caller is gone.
+    /// The caller disconnected.
     Gone,
 }
 
 /// How an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Nothing was sent.
+    /// No part of the request was sent.
     Unsent,
-    /// The upstream said that it did not run it.
+    /// The upstream replied that it did not run the request.
     Declined,
     /// The upstream does not have the revision loaded.
     NotLoaded,
-    /// The exchange broke off.
+    /// The exchange was interrupted, so the upstream may have run the request.
     Broken,
 }
 
@@ -166,7 +169,7 @@
     }
 }
 
-/// Where a request stands.
+/// The state of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum State {
     /// Its claim is being written to the table.
@@ -175,35 +178,36 @@
     Waiting,
     /// It runs on an upstream.
     Running(key::Upstream),
-    /// Another instance has it.
+    /// It was forwarded to another instance.
     Forwarded,
 }
 
-/// A request that has not had its final answer.
+/// A request without a final answer.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// What the caller asks.
+    /// The request as its caller specified it.
     pub spec: Spec,
     /// The revision that must answer; `None` for a plain service.
     pub revision: Option<key::Revision>,
-    /// How much it matters.
+    /// The importance that applies.
     pub importance: Importance,
     /// When it arrived.
     pub arrived: Instant,
     /// When the caller stops waiting.
     pub deadline: Instant,
-    /// Until when it may wait for a load; see [`queue_timeout`].
+    /// Until when it may wait for loads; see [`queue_timeout`].
     pub queue_deadline: Instant,
-    /// Where it stands.
+    /// The state of the request.
     pub state: State,
-    /// The attempts made.
+    /// The number of attempts made, forwards included.
     pub attempts: u32,
-    /// How often an engine turned out not to have the revision loaded.
+    /// The number of attempts that failed because the engine did not have the revision loaded.
     pub misses: u32,
-    /// Whether the caller has a part of the answer, after which there can be no other attempt.
-    pub begun: bool,
-    /// The instances that it was passed on to.
-    pub passed_to: Vec<Arc<str>>,
+    /// Whether a part of the response was sent to the caller, after which there can be no further
+    /// attempt.
+    pub response_started: bool,
+    /// The instances that it was forwarded to.
+    pub forwarded_to: Vec<Arc<str>>,
     /// The key of the row that holds its claim, if it needs one.
     pub claim: Option<Arc<str>>,
 }
@@ -216,15 +220,16 @@
     }
 }
 
-/// Returns how long a request may wait for loads, at all instances together.
+/// Returns how long a request may wait for loads, in total across all instances.
 ///
-/// After half of its time the loads that it waits for have failed, or were ordered by an instance
-/// that may not; a refusal then still leaves the caller the time to go elsewhere.
+/// After half of the timeout, the loads that the request waits for have failed or were ordered by
+/// an instance without the right to order them. A refusal at that point leaves the caller enough
+/// time to retry elsewhere.
 pub fn queue_timeout(timeout: Duration) -> Duration {
     timeout / 2
 }
 
-/// All requests that have not had their final answers.
+/// All requests without a final answer.
 #[derive(Debug, Default)]
 pub struct Requests {
     arena: SlotMap<key::Request, Option<Request>>,
@@ -232,12 +237,12 @@
 }
 
 impl Requests {
-    /// Returns a key for a request that is about to arrive.
+    /// Allocates the key of a request that is about to arrive.
     pub fn admit(&mut self) -> key::Request {
         self.arena.insert(None)
     }
 
-    /// Fills in an admitted request.
+    /// Stores the request of an allocated key.
     pub fn fill(&mut self, key: key::Request, request: Request) {
         if let Some(slot) = self.arena.get_mut(key) {
             *slot = Some(request);
@@ -249,12 +254,12 @@
         self.arena.get(key)?.as_ref()
     }
 
-    /// Returns a request for changes.
+    /// Returns a mutable reference to a request.
     pub fn get_mut(&mut self, key: key::Request) -> Option<&mut Request> {
         self.arena.get_mut(key)?.as_mut()
     }
 
-    /// Removes a request that has had its final answer.
+    /// Removes a request that has its final answer.
     pub fn remove(&mut self, key: key::Request) -> Option<Request> {
         let request = self.arena.remove(key)??;
         if let Some(revision) = request.revision {
@@ -263,12 +268,12 @@
         Some(request)
     }
 
-    /// Lets a request wait for its revision.
+    /// Appends a request to the queue of its revision.
     pub fn queue(&mut self, key: key::Request, revision: key::Revision) {
         self.waiting.entry(revision).or_default().push(key);
     }
 
-    /// Takes a request out of the queue of its revision.
+    /// Removes a request from the queue of its revision.
     pub fn unqueue(&mut self, key: key::Request, revision: key::Revision) {
         if let Some(queue) = self.waiting.get_mut(&revision) {
             queue.retain(|waiting| *waiting != key);
@@ -284,11 +289,11 @@
     }
 
     /// Returns the revisions that requests wait for.
-    pub fn wanted(&self) -> Vec<key::Revision> {
+    pub fn awaited_revisions(&self) -> Vec<key::Revision> {
         self.waiting.keys().copied().collect()
     }
 
-    /// Returns the waiting requests that have to be refused.
+    /// Returns the waiting requests whose queue deadline has passed.
     pub fn overdue(&self, now: Instant) -> Vec<key::Request> {
         self.waiting
             .values()
@@ -303,7 +308,7 @@
         self.arena.len()
     }
 
-    /// Returns whether there are none.
+    /// Returns whether there are no requests.
     pub fn is_empty(&self) -> bool {
         self.arena.is_empty()
     }
--- a/crates/orioleroute/src/routing.rs
+++ b/crates/orioleroute/src/routing.rs
@@ -1,10 +1,10 @@
-//! The choice of an upstream for a request.
+//! Selection of an upstream for a request.
 
 use crate::document::Policy;
 use crate::fleet::{Fleet, Upstream};
 use crate::prelude::*;
 
-/// Why a decision fell as it did.
+/// The reason for a decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum Reason {
@@ -16,7 +16,7 @@
     OtherHome,
     /// The revision was loaded because requests wait for it.
     Demand,
-    /// The revision was unloaded to make room for another.
+    /// The revision was unloaded to free its adapter slot for another.
     Room,
     /// The revision was unloaded because the configuration no longer has it.
     Dropped,
@@ -27,20 +27,20 @@
 /// A routing or placement decision, for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Decision {
-    /// The request that it was made for, if it was made for one.
+    /// The request that it was made for, if any.
     pub request: Option<key::Request>,
     /// The served name of the revision.
     pub name: Arc<str>,
     /// The upstream or instance that was chosen, if any.
     pub chosen: Option<Arc<str>>,
-    /// Why.
+    /// The reason for the choice.
     pub reason: Reason,
     /// The next best choices.
     pub runners_up: Vec<Arc<str>>,
 }
 
-/// Runners-up named in a log line, at most.
-pub const RUNNERS_UP: usize = 2;
+/// Maximum number of runners-up that a decision lists.
+pub const MAX_RUNNERS_UP: usize = 2;
 
 /// Returns the upstream among `candidates` that should answer a request for `revision`, and the
 /// runners-up.
@@ -59,16 +59,16 @@
     let (chosen, _) = *open.first()?;
     let runners_up = open[1..]
         .iter()
-        .take(RUNNERS_UP)
+        .take(MAX_RUNNERS_UP)
         .map(|(_, upstream)| upstream.listing.name.clone())
         .collect();
     Some((chosen, runners_up))
 }
 
-/// Returns whether a request that would wait this long for a load goes to a region that holds its
-/// revision instead.
+/// Returns whether a request should be forwarded to a region that holds its revision rather than
+/// wait this long for a load.
 ///
-/// Traffic between regions is slow and billed; the policy says what wait outweighs it.
+/// Traffic between regions is slow and billed. The policy sets the wait that outweighs this.
 pub fn leaves_region(wait: Duration, policy: &Policy) -> bool {
     wait > Duration::from_millis(policy.region_penalty_ms.into())
 }
--- a/crates/orioleroute/tests/claims.rs
+++ b/crates/orioleroute/tests/claims.rs
@@ -13,7 +13,7 @@
 
 const NODES: usize = 3;
 
-/// Longer than a run of the service and every wait for the table.
+/// Longer than a run of the service and any wait for the table.
 const SETTLED: Duration = Duration::from_secs(8);
 
 fn document() -> String {
@@ -27,7 +27,7 @@
     .to_string()
 }
 
-/// Nodes before one plain service, with a document in force.
+/// Returns nodes in front of one plain service, with an active document.
 fn world(seed: u64) -> World {
     let mut world = World::new(seed);
     for _ in 0..NODES {
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn claims_are_written_in_groups() {
+fn claims_are_written_in_batches() {
     let mut world = world(1);
     let before = world.nodes[0].counts.writes;
 
@@ -77,7 +77,7 @@
 
     assert!(numbers.iter().all(|number| is_whole(world.outcome(*number))));
     let writes = world.nodes[0].counts.writes - before;
-    // Three hundred claims and as many ends are 600 rows.
+    // 300 claims and the ends of 300 claims are 600 rows.
     assert!(writes <= 12, "{writes} writes");
 }
 
@@ -108,10 +108,10 @@
     world.kill(0);
     world.run(SETTLED);
 
-    let again = book(&mut world, 1, Some("seat"));
+    let retry = book(&mut world, 1, Some("seat"));
     world.run(SETTLED);
 
-    assert_eq!(refusal(world.outcome(again)), Some((Kind::Conflict, Ran::MayHaveRun)));
+    assert_eq!(refusal(world.outcome(retry)), Some((Kind::Conflict, Ran::MayHaveRun)));
     assert_eq!(runs(&world), 1);
 }
 
@@ -125,18 +125,18 @@
     world.run(SETTLED);
     world.engines[0].faults.down = false;
 
-    let again = book(&mut world, node, Some("seat"));
+    let retry = book(&mut world, node, Some("seat"));
     world.run(SETTLED);
 
     assert_eq!(refusal(world.outcome(first)).map(|(_, ran)| ran), Some(Ran::NotRun));
-    assert!(is_whole(world.outcome(again)), "{:?}", world.outcome(again));
+    assert!(is_whole(world.outcome(retry)), "{:?}", world.outcome(retry));
 }
 
 #[rstest]
 #[case::reply_lost(Faults { replies_lost: true, ..Faults::default() })]
 #[case::written_late(Faults { writes_late: Some(Duration::from_secs(6)), ..Faults::default() })]
 #[case::table_down(Faults { table_down: true, ..Faults::default() })]
-fn an_unknown_claim_bars_no_later_try(#[case] faults: Faults) {
+fn a_claim_of_unknown_outcome_does_not_block_a_later_attempt(#[case] faults: Faults) {
     let mut world = world(5);
     world.platform.faults = faults;
     let first = book(&mut world, 0, Some("seat"));
@@ -144,16 +144,16 @@
     world.heal();
     world.run(SETTLED);
 
-    let again = book(&mut world, 1, Some("seat"));
+    let retry = book(&mut world, 1, Some("seat"));
     world.run(SETTLED);
 
     assert_eq!(refusal(world.outcome(first)).map(|(_, ran)| ran), Some(Ran::NotRun));
-    assert!(is_whole(world.outcome(again)), "{:?}", world.outcome(again));
+    assert!(is_whole(world.outcome(retry)), "{:?}", world.outcome(retry));
     assert_eq!(runs(&world), 1);
 }
 
 #[test]
-fn an_outage_of_the_table_refuses_at_once() {
+fn a_table_outage_refuses_requests_at_once() {
     let mut world = world(6);
     world.platform.faults.table_down = true;
     world.run(SETTLED);
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn without_a_key_one_attempt_is_made() {
+fn a_request_without_a_key_is_attempted_once() {
     let mut world = world(7);
     world.engines[0].faults.answers_lost = true;
 
@@ -175,7 +175,7 @@
     assert_eq!(runs(&world), 1);
 }
 
-/// One thing that happens between two bookings.
+/// A step of a generated history.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Book { node: usize, key: usize },
@@ -192,7 +192,7 @@
     Wait(u64),
 }
 
-/// The keys that bookings use.
+/// The number of idempotency keys that bookings use.
 const KEYS: usize = 4;
 
 fn step() -> impl Strategy<Value = Step> {
@@ -235,7 +235,7 @@
     }
 }
 
-/// Ends all faults and lets the nodes settle.
+/// Removes all faults and lets the nodes settle.
 fn settle(world: &mut World) {
     world.heal();
     world.engines[0].faults = Default::default();
@@ -248,7 +248,7 @@
     world.run(Duration::from_secs(30));
 }
 
-/// Returns whether every booking of a key was refused as not run by a node that then lived on.
+/// Returns whether every booking of a key was refused as not run.
 fn is_unused(world: &World, key: &str) -> bool {
     let mut asked = world.records.iter().filter_map(|(_, record)| match record {
         Record::Asked(number, asked) if asked.idempotency.as_deref() == Some(key) => Some(*number),
@@ -260,7 +260,7 @@
 proptest! {
     #![proptest_config(histories::proving(histories::histories(500)))]
 
-    /// No key runs twice, whatever fails; and while no node was killed, a key whose every try was
+    /// No key runs twice, whatever fails. If no node was killed, a key whose attempts were all
     /// refused as not run can still be used.
     #[test]
     fn a_key_runs_once_and_is_not_lost(
--- a/crates/orioleroute/tests/fleet.rs
+++ b/crates/orioleroute/tests/fleet.rs
@@ -4,13 +4,13 @@
 
 use orioleroute::catalog::Catalog;
 use orioleroute::engine::{Loaded, Outcome, Report};
-use orioleroute::fleet::{Fleet, LATE_ORDER, Residency};
+use orioleroute::fleet::{Fleet, MAX_ORDER_DELAY, Residency};
 use orioleroute::instance::{Listing, Phase};
 use orioleroute::key::{self, Ticket};
 use orioleroute::prelude::Instant;
 
-const GIVEN: Instant = Instant::from_millis(1_000);
-const GIVEN_UP: Instant = Instant::from_millis(11_000);
+const ORDERED_AT: Instant = Instant::from_millis(1_000);
+const REPLY_TIMEOUT_AT: Instant = Instant::from_millis(11_000);
 
 struct Fixture {
     fleet: Fleet,
@@ -54,15 +54,15 @@
 
     fn load_without_reply(&mut self) {
         let upstream = self.fleet.get_mut(self.upstream).unwrap();
-        upstream.begin_load(GIVEN, Ticket(1), self.revision);
-        upstream.end_order(GIVEN_UP, Ticket(1), self.revision, Outcome::Unknown);
+        upstream.begin_load(ORDERED_AT, Ticket(1), self.revision);
+        upstream.end_order(REPLY_TIMEOUT_AT, Ticket(1), self.revision, Outcome::Unknown);
     }
 
     fn unload_without_reply(&mut self) {
         self.report(Instant::from_millis(500), true);
         let upstream = self.fleet.get_mut(self.upstream).unwrap();
-        upstream.begin_unload(GIVEN, Ticket(1), self.revision);
-        upstream.end_order(GIVEN_UP, Ticket(1), self.revision, Outcome::Unknown);
+        upstream.begin_unload(ORDERED_AT, Ticket(1), self.revision);
+        upstream.end_order(REPLY_TIMEOUT_AT, Ticket(1), self.revision, Outcome::Unknown);
     }
 }
 
@@ -71,10 +71,10 @@
     let mut fixture = fixture();
     fixture.load_without_reply();
 
-    fixture.report(GIVEN_UP + LATE_ORDER / 2, false);
+    fixture.report(REPLY_TIMEOUT_AT + MAX_ORDER_DELAY / 2, false);
     assert_eq!(fixture.residency(), Some(Residency::Loading));
 
-    fixture.report(GIVEN_UP + LATE_ORDER, false);
+    fixture.report(REPLY_TIMEOUT_AT + MAX_ORDER_DELAY, false);
     assert_eq!(fixture.residency(), None);
 }
 
@@ -83,7 +83,7 @@
     let mut fixture = fixture();
     fixture.load_without_reply();
 
-    fixture.report(GIVEN_UP, true);
+    fixture.report(REPLY_TIMEOUT_AT, true);
 
     assert_eq!(fixture.residency(), Some(Residency::Loaded));
 }
@@ -93,10 +93,10 @@
     let mut fixture = fixture();
     fixture.unload_without_reply();
 
-    fixture.report(GIVEN_UP + LATE_ORDER / 2, true);
+    fixture.report(REPLY_TIMEOUT_AT + MAX_ORDER_DELAY / 2, true);
     assert_eq!(fixture.residency(), Some(Residency::Unloading));
 
-    fixture.report(GIVEN_UP + LATE_ORDER, true);
+    fixture.report(REPLY_TIMEOUT_AT + MAX_ORDER_DELAY, true);
     assert_eq!(fixture.residency(), Some(Residency::Loaded));
 }
 
@@ -105,7 +105,7 @@
     let mut fixture = fixture();
     fixture.unload_without_reply();
 
-    fixture.report(GIVEN_UP, false);
+    fixture.report(REPLY_TIMEOUT_AT, false);
 
     assert_eq!(fixture.residency(), None);
 }
@@ -113,35 +113,39 @@
 #[test]
 fn a_late_reply_does_not_undo_what_a_report_has_settled() {
     let mut fixture = fixture();
-    fixture.fleet.get_mut(fixture.upstream).unwrap().begin_load(GIVEN, Ticket(1), fixture.revision);
-    fixture.report(GIVEN, true);
+    fixture.fleet.get_mut(fixture.upstream).unwrap().begin_load(
+        ORDERED_AT,
+        Ticket(1),
+        fixture.revision,
+    );
+    fixture.report(ORDERED_AT, true);
 
     let upstream = fixture.fleet.get_mut(fixture.upstream).unwrap();
-    upstream.end_order(GIVEN_UP, Ticket(1), fixture.revision, Outcome::Failed);
+    upstream.end_order(REPLY_TIMEOUT_AT, Ticket(1), fixture.revision, Outcome::Failed);
 
     assert_eq!(fixture.residency(), Some(Residency::Loaded));
 }
 
 #[test]
-fn a_report_sampled_before_an_order_ended_says_nothing_of_it() {
+fn a_report_sampled_before_an_order_ended_does_not_refute_it() {
     let mut fixture = fixture();
     let upstream = fixture.fleet.get_mut(fixture.upstream).unwrap();
-    upstream.begin_load(GIVEN, Ticket(1), fixture.revision);
-    upstream.end_order(GIVEN_UP, Ticket(1), fixture.revision, Outcome::Done);
+    upstream.begin_load(ORDERED_AT, Ticket(1), fixture.revision);
+    upstream.end_order(REPLY_TIMEOUT_AT, Ticket(1), fixture.revision, Outcome::Done);
 
-    fixture.report(GIVEN, false);
+    fixture.report(ORDERED_AT, false);
 
     assert_eq!(fixture.residency(), Some(Residency::Loaded));
 }
 
 #[test]
-fn a_revision_that_vanished_is_not_forgotten_while_requests_may_be_on_their_way_to_it() {
+fn a_revision_no_longer_reported_is_kept_while_requests_may_be_on_their_way_to_it() {
     let mut fixture = fixture();
-    fixture.report(GIVEN, true);
+    fixture.report(ORDERED_AT, true);
     let upstream = fixture.fleet.get_mut(fixture.upstream).unwrap();
     upstream.residents.get_mut(&fixture.revision).unwrap().running = 1;
 
-    fixture.report(GIVEN_UP, false);
+    fixture.report(REPLY_TIMEOUT_AT, false);
 
     assert_eq!(fixture.residency(), Some(Residency::Unloading));
 }
--- a/crates/orioleroute/tests/given_up.rs
+++ b/crates/orioleroute/tests/given_up.rs
@@ -1,4 +1,4 @@
-//! Requests that are given up while an engine still runs them.
+//! Requests that time out at an instance while an engine still runs them.
 
 mod common;
 
@@ -13,7 +13,7 @@
 const SEEDS: u64 = 50;
 
 #[test]
-fn a_revision_is_not_evicted_while_a_request_that_was_given_up_runs() {
+fn a_revision_is_not_evicted_while_an_abandoned_request_runs() {
     for seed in 0..SEEDS {
         let mut world = world(seed, ONE_SLOT);
         world.engines[0].run_time = Duration::from_secs(2);
--- a/crates/orioleroute/tests/limits.rs
+++ b/crates/orioleroute/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits: the least important is refused first, and nothing is taken on beyond its room.
+//! Admission limits: less important requests are refused first, and no capacity is exceeded.
 
 use std::time::Duration;
 
@@ -10,13 +10,13 @@
     #[test]
     fn the_less_important_is_never_admitted_where_the_more_important_is_not(
         waiting in 0..200_usize,
-        room in 0..200_u32,
+        capacity in 0..200_u32,
     ) {
         let admitted = [Importance::Low, Importance::Normal, Importance::High]
-            .map(|importance| admits(importance, waiting, room));
+            .map(|importance| admits(importance, waiting, capacity));
 
         prop_assert!(admitted.is_sorted());
-        prop_assert!(waiting == 0 || !admitted[2] || waiting < room as usize);
+        prop_assert!(waiting == 0 || !admitted[2] || waiting < capacity as usize);
     }
 
     #[test]
--- a/crates/orioleroute/tests/moments.rs
+++ b/crates/orioleroute/tests/moments.rs
@@ -1,4 +1,4 @@
-//! Every fault at every moment of a history, with every promise checked.
+//! Injects every fault at each of several moments of a history and checks every promise.
 
 mod histories;
 
@@ -7,7 +7,7 @@
 use histories::*;
 use standins::world::{Record, World};
 
-/// A moment at which a fault strikes.
+/// A moment at which a fault is injected.
 #[derive(Clone, Copy, Debug)]
 enum Moment {
     Idle,
@@ -20,7 +20,8 @@
     ProcessWoken,
 }
 
-/// Faults at node 0, to which requests and submissions go, at its peers and at what it uses.
+/// Returns the faults of node 0, which receives the requests and submissions, of its peers and of
+/// the services that it uses.
 fn faults() -> Vec<Step> {
     let mut faults = vec![
         Step::Cut(0, 1),
@@ -56,7 +57,7 @@
     adapters.map(|adapter| Step::Ask { node: 0, adapter, exact: adapter % 2 == 0 })
 }
 
-/// Brings a world to a moment, and returns whether it came about.
+/// Runs a world up to a moment and returns whether the moment was reached.
 fn reach(world: &mut World, moment: Moment) -> bool {
     let limit = Duration::from_secs(12);
     let happened = |wanted: fn(&Record) -> bool, since: usize| {
--- a/crates/orioleroute/tests/policy.rs
+++ b/crates/orioleroute/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Routing and placement: what is evicted, who loads, and that failures are passed by.
+//! Routing and placement: evictions, the choice of where to load, and fallbacks after failures.
 
 use std::time::Duration;
 
@@ -43,13 +43,15 @@
 
 fn catalog() -> (Catalog, Vec<key::Revision>) {
     let mut catalog = Catalog::default();
-    catalog.apply(&Document::from_json(&document()).expect("it is valid"));
-    let find = |adapter| catalog.resolve(&format!("adapter-{adapter}")).expect("it is there");
+    catalog.apply(&Document::from_json(&document()).expect("the document is valid"));
+    let find =
+        |adapter| catalog.resolve(&format!("adapter-{adapter}")).expect("the adapter exists");
     let revisions = (0..ADAPTERS).map(find).collect();
     (catalog, revisions)
 }
 
-/// A fleet of engines, each full of revisions of its own, with the requests that run on each.
+/// Returns a fleet of engines that each hold different revisions, with the given number of requests
+/// running on each.
 fn fleet(running: &[Vec<u32>], revisions: &[key::Revision]) -> (Fleet, Vec<key::Upstream>) {
     let mut fleet = Fleet::default();
     let listings: Vec<_> =
@@ -59,13 +61,15 @@
     keys.sort_by_key(|key| fleet.get(*key).map(|upstream| upstream.listing.address));
     let mut revisions = revisions.iter();
     for (key, running) in keys.iter().zip(running) {
-        let upstream = fleet.get_mut(*key).expect("it is listed");
+        let upstream = fleet.get_mut(*key).expect("the upstream is listed");
         upstream.reported = Some(Instant::ZERO);
         for running in running {
             let mut resident = Resident::new(Residency::Loaded, 0, Instant::ZERO);
             resident.running = *running;
             upstream.running += running;
-            upstream.residents.insert(*revisions.next().expect("there are enough"), resident);
+            upstream
+                .residents
+                .insert(*revisions.next().expect("there are enough revisions"), resident);
         }
     }
     (fleet, keys)
@@ -160,7 +164,7 @@
     assert!(demand.rate(second(330), new) > demand.rate(second(330), old));
 }
 
-/// A region with two nodes that own an engine each, and the document in force.
+/// Returns a region with two nodes and four engines, with the document active.
 fn world(seed: u64) -> World {
     let mut world = World::new(seed);
     for _ in 0..2 {
@@ -189,15 +193,15 @@
     }
 }
 
-/// Returns the engines that each of the two nodes owns, by what the view says.
+/// Returns the engines that each of the two nodes owns according to the view.
 fn owned(world: &World) -> [Vec<usize>; 2] {
-    let core = world.nodes[0].core.as_ref().expect("it runs");
-    let view = core.membership().view_of("zurich").expect("it is known");
+    let core = world.nodes[0].core.as_ref().expect("the node is running");
+    let view = core.membership().view_of("zurich").expect("the view is known");
     let mut owned = [Vec::new(), Vec::new()];
     for (number, engine) in world.engines.iter().enumerate() {
-        let owner = view.owner(digest(&*engine.listing.name)).expect("it has one");
+        let owner = view.owner(digest(&*engine.listing.name)).expect("the engine has an owner");
         let node = world.nodes.iter().position(|node| node.identity.name == owner.name);
-        owned[node.expect("it is a node")].push(number);
+        owned[node.expect("the owner is a node")].push(number);
     }
     owned
 }
@@ -213,7 +217,7 @@
         world.engines[*engine].faults.loads_fail = true;
     }
 
-    // Few enough for the slots of the home that works, whatever it owns.
+    // Few enough for the adapter slots of the working home, however many engines it owns.
     let requests: Vec<usize> = (0..2).map(|adapter| world.ask(failing, spec(adapter))).collect();
     world.run(Duration::from_secs(3));
 
@@ -240,9 +244,9 @@
 #[test]
 fn a_request_that_cannot_be_in_time_is_refused_at_once() {
     let mut world = world(8);
-    let hopeless = Spec { timeout: Some(Duration::from_millis(20)), ..spec(0) };
+    let too_short = Spec { timeout: Some(Duration::from_millis(20)), ..spec(0) };
 
-    let request = world.ask(0, hopeless);
+    let request = world.ask(0, too_short);
     world.run(Duration::from_millis(100));
 
     let Some(Outcome::Refused(refusal)) = world.outcome(request) else {
@@ -251,7 +255,7 @@
     assert!(refusal.retry_after.is_some());
 }
 
-/// Two regions with a node and an engine each.
+/// Returns two regions with a node and an engine each.
 fn two_regions(region_penalty_ms: u32) -> World {
     let mut world = World::new(1);
     for (number, region) in ["zurich", "geneva"].into_iter().enumerate() {
--- a/crates/orioleroute/tests/reconcile.rs
+++ b/crates/orioleroute/tests/reconcile.rs
@@ -1,4 +1,4 @@
-//! Engines are brought to the configuration in force, whatever happens to orders and replies.
+//! Engines converge to the active configuration, whatever happens to orders and replies.
 
 mod common;
 
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_load_is_given_again_after_the_engine_restarted_under_it() {
+fn a_load_is_reissued_after_the_engine_restarted_during_it() {
     let mut world = world(4, ONE_ENGINE);
     world.engines[0].load_time = Duration::from_secs(1);
     let number = world.ask(0, request(0, Duration::from_secs(20)));
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn an_unload_by_someone_else_is_repaired() {
+fn an_unload_by_another_party_is_repaired() {
     let mut world = world(6, ONE_ENGINE);
     time_to_answer(&mut world, 0, 0, Duration::from_secs(5)).expect("an answer");
 
--- a/crates/orioleroute/tests/replies.rs
+++ b/crates/orioleroute/tests/replies.rs
@@ -1,4 +1,4 @@
-//! Replies and messages that arrive late, twice and out of order.
+//! Replies and messages that arrive late, more than once and out of order.
 
 mod histories;
 
@@ -51,12 +51,15 @@
     world
 }
 
-/// Asks for a version of an adapter, or books a seat.
-fn ask(world: &mut World, node: usize, what: usize) -> usize {
-    let repeatable = what < 8;
+/// Sends a request for a version of an adapter, or books a seat.
+fn ask(world: &mut World, node: usize, target_index: usize) -> usize {
+    let repeatable = target_index < 8;
     let (target, idempotency) = match repeatable {
-        true => (Target::Model(format!("adapter-{}@v{}", what / 2, 1 + what % 2).into()), None),
-        false => (Target::Service("bookings".into()), Some(format!("seat-{what}").into())),
+        true => (
+            Target::Model(format!("adapter-{}@v{}", target_index / 2, 1 + target_index % 2).into()),
+            None,
+        ),
+        false => (Target::Service("bookings".into()), Some(format!("seat-{target_index}").into())),
     };
     world.ask(
         node,
@@ -82,8 +85,8 @@
         world.duplicates = duplicates;
         let numbers: Vec<usize> = asked
             .iter()
-            .map(|(node, what, wait)| {
-                let number = ask(&mut world, *node, *what);
+            .map(|(node, target_index, wait)| {
+                let number = ask(&mut world, *node, *target_index);
                 world.run(Duration::from_millis(*wait));
                 number
             })
@@ -92,11 +95,11 @@
 
         let breaches = world.checker.breaches();
         prop_assert!(breaches.is_empty(), "{breaches:?}");
-        for (number, (_, what, _)) in numbers.iter().zip(&asked) {
+        for (number, (_, target_index, _)) in numbers.iter().zip(&asked) {
             let outcome = world.outcome(*number);
             prop_assert!(outcome.is_some(), "request {number} has no answer");
             let is_whole = matches!(outcome, Some(Outcome::Whole(_)));
-            prop_assert!(*what >= 8 || is_whole, "request {number}: {outcome:?}");
+            prop_assert!(*target_index >= 8 || is_whole, "request {number}: {outcome:?}");
         }
     }
 }
--- a/crates/orioleroute/tests/retries.rs
+++ b/crates/orioleroute/tests/retries.rs
@@ -1,4 +1,4 @@
-//! Attempts at requests: how often, where and for how long.
+//! Attempts at requests: their number, their targets and their time limits.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use orioleroute::operator::Command;
 use orioleroute::prelude::{Effect, Event, Instant, key};
 use orioleroute::request::{Failure, Progress, Ran, Refusal, Spec, Step, Target};
-use orioleroute::retry::{BURST, Budget, TIME_PER_RETRY};
+use orioleroute::retry::{Budget, DEFAULT_BURST, DEFAULT_TIME_PER_RETRY};
 use serde_json::json;
 use standins::world::{Engine, Outcome, Record, World};
 
@@ -15,7 +15,7 @@
 
 const SETTLED: Duration = Duration::from_secs(8);
 
-/// Nodes before engines and a service, with a document in force.
+/// Returns nodes in front of engines and a service, with an active document.
 fn world(engines: usize) -> World {
     let mut world = World::new(11);
     for _ in 0..3 {
@@ -63,13 +63,17 @@
         .collect();
     world.run(SETTLED);
 
-    // A tenth more, what was saved, and one for each of the two seconds and the run after them.
-    assert!(runs(&world) <= REQUESTS + REQUESTS / 10 + BURST as usize + 4, "{}", runs(&world));
+    // A tenth more, the burst, and one for each of the two seconds and for the run after them.
+    assert!(
+        runs(&world) <= REQUESTS + REQUESTS / 10 + DEFAULT_BURST as usize + 4,
+        "{}",
+        runs(&world)
+    );
     for number in numbers {
         let outcome = world.outcome(number);
         match outcome {
             Some(Outcome::Refused(refusal)) => assert_eq!(refusal.ran, Ran::MayHaveRun),
-            // A caller that asked for a stream has had a part of it.
+            // A caller that asked for a stream has received a part of it.
             Some(Outcome::Broken) => {}
             _ => panic!("{outcome:?}"),
         }
@@ -80,21 +84,21 @@
 fn time_and_requests_earn_retries() {
     let mut budget = Budget::default();
     let start = Instant::from_millis(0);
-    assert!((0..BURST).all(|_| budget.spend(start)));
+    assert!((0..DEFAULT_BURST).all(|_| budget.spend(start)));
     assert!(!budget.spend(start));
 
-    assert!(budget.spend(start + TIME_PER_RETRY));
-    assert!(!budget.spend(start + TIME_PER_RETRY));
+    assert!(budget.spend(start + DEFAULT_TIME_PER_RETRY));
+    assert!(!budget.spend(start + DEFAULT_TIME_PER_RETRY));
     (0..10).for_each(|_| budget.earn());
-    assert!(budget.spend(start + TIME_PER_RETRY));
+    assert!(budget.spend(start + DEFAULT_TIME_PER_RETRY));
 }
 
 #[test]
 fn nothing_is_tried_again_after_the_answer_has_begun() {
     let mut world = world(0);
-    // Later than the node's clock, by less than what it takes for a pause.
+    // Later than the node's clock, but by too little to be treated as a pause of the process.
     let now = world.now + Duration::from_secs(1);
-    let core = world.nodes[0].core.as_mut().expect("it runs");
+    let core = world.nodes[0].core.as_mut().expect("the node is running");
     let request = core.admit();
     let spec = spec(Target::Service("bookings".into()));
     core.handle(now, Event::Arrived { request, spec });
@@ -114,10 +118,10 @@
     let now = Instant::from_millis(60_000);
     let model = Target::Model("milk".into());
     let homes: Vec<usize> = {
-        let core = world.nodes[0].core.as_ref().expect("it runs");
+        let core = world.nodes[0].core.as_ref().expect("the node is running");
         core.homes("zurich", &model).iter().map(|home| number_of(&home.name)).collect()
     };
-    let core = world.nodes[homes[2]].core.as_mut().expect("it runs");
+    let core = world.nodes[homes[2]].core.as_mut().expect("the node is running");
     let request = core.admit();
     let first = core.handle(now, Event::Arrived { request, spec: spec(model) });
 
@@ -135,7 +139,7 @@
     let mut world = world(8);
     let model = Target::Model("milk".into());
     let homes: Vec<usize> = {
-        let core = world.nodes[0].core.as_ref().expect("it runs");
+        let core = world.nodes[0].core.as_ref().expect("the node is running");
         core.homes("zurich", &model).iter().map(|home| number_of(&home.name)).collect()
     };
     for engine in &mut world.engines {
@@ -158,13 +162,13 @@
     let mut world = world(2);
     let model = Target::Model("milk".into());
     let home = {
-        let core = world.nodes[0].core.as_ref().expect("it runs");
+        let core = world.nodes[0].core.as_ref().expect("the node is running");
         number_of(&core.homes("zurich", &model)[0].name)
     };
     world.ask(home, spec(model.clone()));
     world.run(Duration::from_secs(2));
     let now = world.now + Duration::from_secs(1);
-    let core = world.nodes[home].core.as_mut().expect("it runs");
+    let core = world.nodes[home].core.as_mut().expect("the node is running");
     let request = core.admit();
     let mut effects = core.handle(now, Event::Arrived { request, spec: spec(model) });
 
@@ -172,7 +176,8 @@
         assert!(effects.iter().any(is_dispatch), "after {miss} misses: {effects:?}");
         let progress = Progress::Failed(Failure::NotLoaded);
         let ordered = core.handle(now, Event::Progress { request, progress });
-        let (ticket, upstream) = ordered.iter().find_map(order_of).expect("it is loaded anew");
+        let (ticket, upstream) =
+            ordered.iter().find_map(order_of).expect("the revision is loaded again");
         let outcome = engine::Outcome::Done;
         effects = core.handle(now, Event::Ordered { ticket, upstream, outcome });
     }
@@ -204,7 +209,7 @@
 }
 
 fn number_of(name: &str) -> usize {
-    name.trim_start_matches("node-").parse().expect("names are numbered")
+    name.trim_start_matches("node-").parse().expect("node names end in a number")
 }
 
 #[test]
