--- a/crates/orioleroute/benches/decisions.rs
+++ b/crates/orioleroute/benches/decisions.rs
@@ -1,7 +1,7 @@
-//! The cost of a routing and of a placement decision, today and at the size that is aimed at.
+//! Cost of a routing decision and of a placement decision, at the current and the target size.
 //!
-//! A decision is made by one instance among the upstreams that it owns; the fleet and the catalog
-//! that it looks them up in are of full size. Results are in `docs/CAPACITY-decisions.md`.
+//! One instance decides among the upstreams that it owns, but the fleet and the catalog in which it
+//! looks them up have full size. Results are in `docs/CAPACITY-decisions.md`.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 const SLOTS: u32 = 8;
 const CONCURRENCY: u32 = 16;
 
-/// A deployment's numbers of instances, of upstreams and of adapters.
+/// The number of instances, upstreams and adapters of a deployment.
 #[derive(Clone, Copy)]
 struct Size {
     name: &'static str,
@@ -37,14 +37,15 @@
     Size { name: "aim, 96,000 adapters", instances: 360, upstreams: 12_000, adapters: 96_000 },
 ];
 
-/// What one instance decides from.
+/// The state from which one instance decides.
 struct State {
     catalog: Catalog,
     fleet: Fleet,
     demand: Demand,
     names: Vec<Arc<str>>,
     owned: Vec<key::Upstream>,
-    nodes: Vec<u64>,
+    /// The digests of the names of all instances.
+    instances: Vec<u64>,
 }
 
 fn document(size: Size) -> Document {
@@ -96,21 +97,21 @@
     let mut demand = Demand::default();
     let mut adapters = (0..size.adapters).cycle();
     for key in &owned {
-        let upstream = fleet.get_mut(*key).expect("it is listed");
+        let upstream = fleet.get_mut(*key).expect("the upstream is listed");
         upstream.reported = Some(Instant::from_micros(u64::MAX / 2));
         for _ in 0..SLOTS {
-            let name = &names[adapters.next().expect("it is endless")];
-            let revision = catalog.resolve(name).expect("it is there");
+            let name = &names[adapters.next().expect("the iterator is endless")];
+            let revision = catalog.resolve(name).expect("the adapter is in the catalog");
             demand.note(Instant::ZERO, revision);
             let resident = Resident::new(Residency::Loaded, 0, Instant::ZERO);
             upstream.residents.insert(revision, resident);
         }
     }
-    let nodes = (0..size.instances).map(|node| digest(&*format!("node-{node}"))).collect();
-    State { catalog, fleet, demand, names, owned, nodes }
+    let instances = (0..size.instances).map(|node| digest(&*format!("node-{node}"))).collect();
+    State { catalog, fleet, demand, names, owned, instances }
 }
 
-/// Resolves the name, finds the home among the instances of a region and chooses an upstream.
+/// Resolves the name, selects the home among the instances of a region and chooses an upstream.
 fn route(state: &State, name: &str, region: &[u64]) -> Option<(usize, key::Upstream)> {
     let revision = state.catalog.resolve(name)?;
     let item = state.catalog.revision(revision).digest;
@@ -125,14 +126,14 @@
     for size in SIZES {
         let state = state(size);
         let regions = if size.instances > 100 { 5 } else { 3 };
-        let region = &state.nodes[..size.instances / regions];
+        let region = &state.instances[..size.instances / regions];
         let loaded = state.names[0].clone();
         let id = format!("route, {}", size.name);
         criterion.bench_function(&id, |bencher| {
             bencher.iter(|| route(black_box(&state), black_box(&loaded), region));
         });
         let cold = state.names[size.adapters - 1].clone();
-        let revision = state.catalog.resolve(&cold).expect("it is there");
+        let revision = state.catalog.resolve(&cold).expect("the adapter is in the catalog");
         let id = format!("place, {}", size.name);
         criterion.bench_function(&id, |bencher| {
             bencher.iter(|| {
@@ -155,31 +156,35 @@
     }
 }
 
-/// Prints the growth of the resident memory as indexes of different sizes are built.
+/// Prints the growth of the resident memory while indexes of different sizes are built.
 ///
-/// What they are built from is there before, and nothing is freed in between, so that no freed
-/// memory is used again unseen.
-fn memory() {
+/// The inputs are allocated beforehand and nothing is freed in between, because an index that reuses
+/// freed memory would not add to the resident memory.
+fn print_memory_growth() {
     const COUNTS: [usize; 4] = [12_000, 24_000, 48_000, 96_000];
     let documents = COUNTS.map(|adapters| document(Size { adapters, ..SIZES[0] }));
     let lists = COUNTS.map(|upstreams| listings(Size { upstreams, ..SIZES[0] }));
     let mut catalogs = Vec::new();
     let mut fleets = Vec::new();
     for document in &documents {
-        let before = resident();
+        let before = resident_bytes();
         catalogs.push(catalog(document));
-        println!("memory: {} adapters, {} bytes", document.adapters.len(), resident() - before);
+        println!(
+            "memory: {} adapters, {} bytes",
+            document.adapters.len(),
+            resident_bytes() - before
+        );
     }
     for listings in &lists {
-        let before = resident();
+        let before = resident_bytes();
         fleets.push(fleet(listings));
-        println!("memory: {} upstreams, {} bytes", listings.len(), resident() - before);
+        println!("memory: {} upstreams, {} bytes", listings.len(), resident_bytes() - before);
     }
     black_box((catalogs, fleets));
 }
 
-/// Returns the resident memory of this process in bytes, as the kernel counts it.
-fn resident() -> i64 {
+/// Returns the resident memory of this process in bytes, as reported by the kernel.
+fn resident_bytes() -> i64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kibibytes = line.and_then(|line| line.split_whitespace().next()?.parse::<i64>().ok());
@@ -187,7 +192,7 @@
 }
 
 fn main() {
-    memory();
+    print_memory_growth();
     let mut criterion = Criterion::default().configure_from_args();
     decisions(&mut criterion);
     criterion.final_summary();
--- a/crates/orioleroute/examples/embed.rs
+++ b/crates/orioleroute/examples/embed.rs
@@ -1,8 +1,9 @@
-//! Embeds two cores in one program, with a table in memory in the platform's place.
+//! Embeds two cores in one program, with an in-memory table instead of the platform's table.
 //!
-//! Run it with `cargo run -p orioleroute --example embed`. It shows all that an embedder does: feed
-//! each core the time and what happened, carry out the effects, and feed the outcomes back. A real
-//! embedder carries messages over a network and asks a real table; the loop stays the same.
+//! Run it with `cargo run -p orioleroute --example embed`. It shows everything that an embedding
+//! program must do: pass each core the time and the events, apply the effects, and pass the outcomes
+//! back as events. A real program sends messages over a network and calls a real table, but its loop
+//! is the same.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -31,7 +32,7 @@
 }
 
 impl Table {
-    fn carry_out(&mut self, operation: Operation) -> Outcome {
+    fn execute(&mut self, operation: Operation) -> Outcome {
         match operation {
             Operation::Read(keys) => {
                 Outcome::Rows(keys.iter().filter_map(|key| self.rows.get(key).cloned()).collect())
@@ -61,7 +62,7 @@
     }
 }
 
-/// Two cores and what is under way to them.
+/// Two cores, the storage they share and the events to be handled.
 struct Program {
     cores: Vec<Core>,
     table: Table,
@@ -73,7 +74,7 @@
 impl Program {
     fn new() -> Self {
         let cores =
-            ["a", "b"].iter().enumerate().map(|(number, name)| Core::new(identity(number, name)));
+            ["a", "b"].iter().enumerate().map(|(index, name)| Core::new(identity(index, name)));
         Self {
             cores: cores.collect(),
             table: Table::default(),
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Lets time pass, and handles all that comes of it.
+    /// Advances the time by `span`, and handles all events until then.
     fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
@@ -93,20 +94,20 @@
             }
             while let Some((core, event)) = self.events.pop_front() {
                 for effect in self.cores[core].handle(self.now, event) {
-                    self.carry_out(core, effect);
+                    self.apply(core, effect);
                 }
             }
         }
     }
 
-    fn carry_out(&mut self, core: usize, effect: Effect) {
+    fn apply(&mut self, core: usize, effect: Effect) {
         match effect {
             Effect::Send { address, message, .. } => {
                 let from = self.cores[core].membership().identity().name.clone();
-                self.events.push_back((number_of(address), Event::Message { from, message }));
+                self.events.push_back((index_of(address), Event::Message { from, message }));
             }
             Effect::Table { ticket, operation } => {
-                let outcome = self.table.carry_out(operation);
+                let outcome = self.table.execute(operation);
                 self.events.push_back((core, Event::Table { ticket, outcome }));
             }
             Effect::Put { ticket, key, value } => {
@@ -128,8 +129,8 @@
     }
 }
 
-fn identity(number: usize, name: &str) -> Identity {
-    let address: SocketAddr = ([127, 0, 0, 1], FIRST_PORT + number as u16).into();
+fn identity(index: usize, name: &str) -> Identity {
+    let address: SocketAddr = ([127, 0, 0, 1], FIRST_PORT + index as u16).into();
     Identity {
         name: name.into(),
         incarnation: 1,
@@ -141,10 +142,10 @@
     }
 }
 
-/// The port by which the first core is known; nothing listens there.
+/// The port in the address of the first core; the program doesn't listen on it.
 const FIRST_PORT: u16 = 4_000;
 
-fn number_of(address: SocketAddr) -> usize {
+fn index_of(address: SocketAddr) -> usize {
     usize::from(address.port() - FIRST_PORT)
 }
 
@@ -165,6 +166,6 @@
     program.run(Duration::from_secs(2));
     for core in &program.cores {
         let name = &core.membership().identity().name;
-        println!("{name} acts by version {}", core.version());
+        println!("{name}: active version {}", core.version());
     }
 }
--- a/crates/orioleroute/src/catalog.rs
+++ b/crates/orioleroute/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The adapters and pools of the document in force, indexed for routing.
+//! The adapters and pools of the active document, indexed for routing.
 
 use std::sync::Arc;
 
@@ -21,26 +21,26 @@
     pub model: Arc<str>,
     /// The regions in which it may run; all if empty.
     pub regions: Vec<Arc<str>>,
-    /// How much its requests matter.
+    /// The importance of its requests.
     pub importance: Importance,
-    /// Whether it stays loaded once it is.
+    /// Whether it is never evicted once loaded.
     pub pinned: bool,
-    /// The requests that may wait for it.
+    /// The maximum number of requests that may wait for it.
     pub queue: u32,
     /// A digest of the served name, for rendezvous hashing.
     pub digest: u64,
-    /// Whether the document in force still has it.
+    /// Whether the active document still contains it.
     pub current: bool,
 }
 
 impl Revision {
-    /// Returns whether it may run in `region`.
+    /// Returns whether the revision may run in `region`.
     pub fn may_run_in(&self, region: &str) -> bool {
         self.regions.is_empty() || self.regions.iter().any(|allowed| &**allowed == region)
     }
 }
 
-/// The index of the document in force.
+/// The index of the active document.
 #[derive(Debug, Default)]
 pub struct Catalog {
     revisions: SlotMap<key::Revision, Revision>,
@@ -52,10 +52,10 @@
 }
 
 impl Catalog {
-    /// Brings the index to `document`.
+    /// Updates the index to `document`.
     ///
-    /// A revision keeps its key from one document to the next, so that requests and engines that
-    /// refer to it stay valid; one that the document dropped stays behind as not current.
+    /// A revision keeps its key from one document to the next, so that references from requests and
+    /// engines stay valid. A revision that the document no longer has is kept, marked as not current.
     pub fn apply(&mut self, document: &Document) {
         self.policy = document.policy.clone();
         self.pools = document.pools.iter().map(|pool| (pool.name.clone(), pool.clone())).collect();
@@ -73,9 +73,10 @@
         }
     }
 
-    /// Brings the index of a document to the document that `delta` makes of it.
+    /// Updates the index by a change of the document.
     ///
-    /// Its cost grows with the adapters that change, save for one pass over the revisions.
+    /// The cost is proportional to the number of changed adapters, except for one pass over all
+    /// revisions.
     pub fn change(&mut self, delta: &Delta) {
         if let Some(policy) = &delta.policy {
             self.policy = policy.clone();
@@ -111,8 +112,8 @@
         self.by_name.get(name).copied()
     }
 
-    /// Returns the revision with a served name, which is made up as not current if no document has
-    /// had it, so that an engine that holds it can be brought back to the document in force.
+    /// Returns the revision with a served name, and inserts it as not current if no document has had
+    /// it, so that it can be unloaded from an engine that holds it.
     pub fn intern(&mut self, name: &str) -> key::Revision {
         if let Some(key) = self.find(name) {
             return key;
--- a/crates/orioleroute/src/config.rs
+++ b/crates/orioleroute/src/config.rs
@@ -1,9 +1,9 @@
-//! The configuration in force and how a new one is accepted.
+//! The active configuration and how a new version is accepted.
 //!
-//! A submission is staged, confirmed by every member of every region, and only then accepted by a
-//! conditional write of the head row. Whoever confirmed it and then loses contact refuses what the
-//! staged document would change, since it cannot tell whether the document was accepted; see
-//! `docs/DESIGN.md`, section "Configuration".
+//! A submission is staged, confirmed by every member of every region, and then accepted by a
+//! conditional write of the head row. A member that confirmed it and then loses contact refuses
+//! requests for adapters that the staged document changes, because it cannot tell whether the
+//! document was accepted; see `docs/DESIGN.md`, section "Configuration".
 
 use std::collections::VecDeque;
 
@@ -25,126 +25,129 @@
 /// The key of the row that holds the accepted version.
 pub const HEAD: &str = "config/head";
 
-/// The key of the row that holds the submission under way.
+/// The key of the row that holds the submission in progress.
 pub const STAGED: &str = "config/staged";
 
-/// Between two reads of the rows.
-const POLL: Duration = Duration::from_millis(1_000);
+/// The interval between reads of the rows.
+const POLL_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// The longest wait for a reply of the table.
+/// How long to wait for a reply from the table.
 const TABLE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// How long after the last read of the head row a staged document may have been accepted unnoticed.
+/// How long after the last read of the head row a staged document is treated as possibly accepted.
 ///
-/// It leaves a margin under the 4 s after which an accepted document must be in force.
-const DOUBT: Duration = Duration::from_millis(3_000);
+/// This leaves a margin below the 4 s within which an accepted document must become active.
+const UNCERTAIN_AFTER: Duration = Duration::from_millis(3_000);
 
-/// Changes that are kept for peers that are behind, at most.
-const RECENT: usize = 64;
+/// The maximum number of changes kept for peers that are behind.
+const MAX_RECENT_CHANGES: usize = 64;
 
-/// A document with its version.
+/// A document with its version and digest.
 #[derive(Clone, Debug)]
-struct Held {
+struct VersionedDocument {
     mark: Mark,
     document: Arc<Document>,
     digest: u64,
-    /// What made it out of the document before it, unless it came whole.
+    /// The change from the previous document; `None` if only the whole document is known.
     change: Option<Change>,
 }
 
-/// A change and the version that it builds on.
+/// A change and the version it applies to.
 #[derive(Clone, Debug)]
 struct Change {
     base: Mark,
     delta: Arc<Delta>,
 }
 
-/// A confirmed document that is not known to be accepted.
+/// A confirmed document that may or may not have been accepted.
 #[derive(Clone, Debug)]
 struct Staged {
-    held: Held,
+    versioned: VersionedDocument,
     delta: Arc<Delta>,
 }
 
-/// What came into force since the last look.
+/// How the active document has changed since the last call of [`Config::take_news`].
 #[derive(Clone, Debug)]
 pub enum News {
-    /// These changes, in order.
+    /// The document was changed by these deltas, in order.
     Changes(Vec<Arc<Delta>>),
-    /// A document that is no known change of the former one.
+    /// The document was replaced, and its difference from the previous one is not known.
     Whole,
 }
 
 /// The configuration of one instance.
 #[derive(Debug, Default)]
 pub struct Config {
-    in_force: Option<Held>,
-    /// Every document that was confirmed and may yet be accepted.
+    active: Option<VersionedDocument>,
+    /// All documents that were confirmed and can still be accepted.
     staged: Vec<Staged>,
-    head_row: u64,
-    staged_row: u64,
-    head_read: Instant,
-    /// The highest version that is known to be accepted.
+    head_row_version: u64,
+    staged_row_version: u64,
+    /// When the last successful read of the head row was sent.
+    head_read_at: Instant,
+    /// The highest version known to be accepted.
     accepted: u64,
     submission: Option<Submission>,
     fetch: Option<Fetch>,
-    reading: Option<(Ticket, Instant)>,
+    pending_read: Option<(Ticket, Instant)>,
     next_poll: Instant,
     stale_views: bool,
-    /// The changes that led to the document in force, the newest last.
+    /// The latest changes that led to the active document, oldest first.
     recent: VecDeque<Proposal>,
     news: Option<News>,
 }
 
 impl Config {
-    /// Returns the version in force; zero if there is none.
+    /// Returns the active version; zero if there is none.
     pub fn version(&self) -> u64 {
         self.mark().version
     }
 
-    /// Returns the document in force.
+    /// Returns the active document.
     pub fn document(&self) -> Option<&Arc<Document>> {
-        self.in_force.as_ref().map(|held| &held.document)
+        self.active.as_ref().map(|versioned| &versioned.document)
     }
 
-    /// Returns the version that is staged but not known to be accepted.
+    /// Returns the newest version that is staged but not known to be accepted.
     pub fn staged(&self) -> Option<u64> {
-        self.staged.iter().map(|staged| staged.held.mark.version).max()
+        self.staged.iter().map(|staged| staged.versioned.mark.version).max()
     }
 
-    /// Returns whether a document that may have been accepted unnoticed changes an adapter, or one
-    /// was accepted that this instance does not hold yet.
+    /// Returns whether the active configuration of an adapter may be out of date.
+    ///
+    /// That is so if a staged document that changes the adapter may have been accepted without this
+    /// instance learning of it, or if a version was accepted that this instance does not have yet.
     pub fn is_in_doubt(&self, now: Instant, adapter: &str) -> bool {
         self.accepted > self.version()
-            || now >= self.head_read + DOUBT
-                && self.staged.iter().any(|staged| staged.delta.touches(adapter))
+            || now >= self.head_read_at + UNCERTAIN_AFTER
+                && self.staged.iter().any(|staged| staged.delta.affects(adapter))
     }
 
-    /// Returns what came into force since this was last asked.
+    /// Returns how the active document has changed since the last call.
     pub fn take_news(&mut self) -> Option<News> {
         self.news.take()
     }
 
-    /// Returns whether the views have to be read anew before a submission can go on.
+    /// Returns and clears whether the views must be reread before a submission can continue.
     pub fn take_stale_views(&mut self) -> bool {
         std::mem::take(&mut self.stale_views)
     }
 
-    /// Does what is due at `now`.
+    /// Runs the work that is due at `now`: reads the rows and advances the submission.
     pub fn tick(&mut self, now: Instant, membership: &Membership, effects: &mut Effects) {
-        self.reading.take_if(|(_, sent)| now >= *sent + TABLE_TIMEOUT);
-        if self.reading.is_none() && now >= self.next_poll {
-            self.next_poll = now + POLL;
+        self.pending_read.take_if(|(_, sent)| now >= *sent + TABLE_TIMEOUT);
+        if self.pending_read.is_none() && now >= self.next_poll {
+            self.next_poll = now + POLL_INTERVAL;
             let mut keys = vec![HEAD.into()];
-            if self.submission.is_some() || self.staged_row == 0 {
+            if self.submission.is_some() || self.staged_row_version == 0 {
                 keys.push(STAGED.into());
             }
-            self.reading = Some((effects.table(Operation::Read(keys)), now));
+            self.pending_read = Some((effects.table(Operation::Read(keys)), now));
         }
-        self.drive(now, membership, effects);
+        self.advance(now, membership, effects);
     }
 
-    /// Takes the outcome of a table operation, and returns whether a new document is in force.
+    /// Handles the outcome of a table operation, and returns whether a new document became active.
     pub fn take_outcome(
         &mut self,
         now: Instant,
@@ -153,17 +156,17 @@
         membership: &Membership,
         effects: &mut Effects,
     ) -> bool {
-        if let Some((_, sent)) = self.reading.take_if(|(reading, _)| *reading == ticket) {
+        if let Some((_, sent)) = self.pending_read.take_if(|(read, _)| *read == ticket) {
             if let Outcome::Rows(rows) = outcome {
-                self.head_read = sent;
-                return self.take_rows(now, rows, effects);
+                self.head_read_at = sent;
+                return self.handle_rows(now, rows, effects);
             }
             return false;
         }
-        self.take_write(now, ticket, outcome, membership, effects)
+        self.handle_write(now, ticket, outcome, membership, effects)
     }
 
-    /// Takes a message about configuration, and returns whether a new document is in force.
+    /// Handles a message about configuration, and returns whether a new document became active.
     pub fn take_message(
         &mut self,
         from: &Arc<str>,
@@ -172,27 +175,27 @@
         effects: &mut Effects,
     ) -> bool {
         match message {
-            Message::Stage(proposal) => self.take_stage(from, proposal, membership, effects),
+            Message::Stage(proposal) => self.handle_stage(from, proposal, membership, effects),
             Message::Staged { mark, incarnation } => {
-                self.confirm(from, *incarnation, *mark);
+                self.record_confirmation(from, *incarnation, *mark);
                 false
             }
             Message::Accepted(mark) => {
                 self.accepted = self.accepted.max(mark.version);
-                let accepted = self.accept(*mark);
-                self.catch_up(from, mark.version, membership, effects);
-                accepted
+                let activated = self.activate_staged(*mark);
+                self.fetch_if_behind(from, mark.version, membership, effects);
+                activated
             }
             Message::Renew(renewal) => {
-                self.catch_up(from, renewal.config, membership, effects);
+                self.fetch_if_behind(from, renewal.config, membership, effects);
                 false
             }
             Message::Fetch { version } => {
-                self.pass_on(from, *version, membership, effects);
+                self.send_missing(from, *version, membership, effects);
                 false
             }
             Message::Document(proposal) => match self.resolve(proposal) {
-                Some(held) => self.adopt(held),
+                Some(versioned) => self.activate(versioned),
                 None => false,
             },
             _ => false,
@@ -200,11 +203,11 @@
     }
 
     fn mark(&self) -> Mark {
-        self.in_force.as_ref().map_or(Mark::default(), |held| held.mark)
+        self.active.as_ref().map_or(Mark::default(), |versioned| versioned.mark)
     }
 
-    /// Stages a document, or asks for the one that it builds on.
-    fn take_stage(
+    /// Stages a proposed document, or requests its base document from the sender if it is missing.
+    fn handle_stage(
         &mut self,
         from: &Arc<str>,
         proposal: &Proposal,
@@ -215,8 +218,8 @@
             return false;
         }
         match self.resolve(proposal) {
-            Some(held) => {
-                self.stage(held);
+            Some(versioned) => {
+                self.stage(versioned);
                 let incarnation = membership.identity().incarnation;
                 let staged = Message::Staged { mark: proposal.mark, incarnation };
                 send(membership, from, staged, effects);
@@ -229,8 +232,8 @@
         false
     }
 
-    /// Asks a peer for the document in force there, if it is newer.
-    fn catch_up(
+    /// Requests the active document of a peer if its version is newer.
+    fn fetch_if_behind(
         &self,
         peer: &Arc<str>,
         version: u64,
@@ -243,24 +246,32 @@
         }
     }
 
-    fn stage(&mut self, held: Held) {
-        if self.staged.iter().any(|staged| staged.held.mark == held.mark) {
+    fn stage(&mut self, versioned: VersionedDocument) {
+        if self.staged.iter().any(|staged| staged.versioned.mark == versioned.mark) {
             return;
         }
-        let delta = match &held.change {
+        let delta = match &versioned.change {
             Some(change) if change.base == self.mark() => change.delta.clone(),
             _ => {
                 let empty = Arc::default();
                 let old = self.document().unwrap_or(&empty);
-                Arc::new(Delta::between(old, &held.document))
+                Arc::new(Delta::between(old, &versioned.document))
             }
         };
-        self.staged.push(Staged { held, delta });
+        self.staged.push(Staged { versioned, delta });
     }
 
-    /// Passes on what a peer misses: the recent changes if they suffice, else the whole document.
-    fn pass_on(&self, to: &Arc<str>, version: u64, membership: &Membership, effects: &mut Effects) {
-        let Some(held) = self.in_force.as_ref().filter(|held| held.mark.version > version) else {
+    /// Sends a peer the recent changes it lacks, or the whole document if those do not suffice.
+    fn send_missing(
+        &self,
+        to: &Arc<str>,
+        version: u64,
+        membership: &Membership,
+        effects: &mut Effects,
+    ) {
+        let Some(versioned) =
+            self.active.as_ref().filter(|versioned| versioned.mark.version > version)
+        else {
             return;
         };
         let first = self.recent.iter().position(|change| change.base.version == version);
@@ -270,95 +281,100 @@
             }
             return;
         }
-        let body = Body::Whole(held.document.clone());
-        let proposal = Proposal { mark: held.mark, base: Mark::default(), body };
+        let body = Body::Whole(versioned.document.clone());
+        let proposal = Proposal { mark: versioned.mark, base: Mark::default(), body };
         send(membership, to, Message::Document(proposal), effects);
     }
 
-    /// Returns the document of a proposal, if it is whole or builds on the one in force.
-    fn resolve(&self, proposal: &Proposal) -> Option<Held> {
+    /// Returns the document of a proposal if it is whole or is a change of the active document.
+    fn resolve(&self, proposal: &Proposal) -> Option<VersionedDocument> {
         let mark = proposal.mark;
         match &proposal.body {
             Body::Whole(document) => {
                 let digest = document.digest();
-                Some(Held { mark, document: document.clone(), digest, change: None })
+                Some(VersionedDocument { mark, document: document.clone(), digest, change: None })
             }
             Body::Change(delta) if proposal.base == self.mark() => {
-                let document = match &self.in_force {
-                    Some(old) => delta.apply_to(&old.document, old.digest)?,
+                let document = match &self.active {
+                    Some(old) => delta.apply_with_digest(&old.document, old.digest)?,
                     None => delta.apply(&Document::default())?,
                 };
                 let change = Change { base: proposal.base, delta: delta.clone() };
                 let digest = delta.digest;
-                Some(Held { mark, document: Arc::new(document), digest, change: Some(change) })
+                Some(VersionedDocument {
+                    mark,
+                    document: Arc::new(document),
+                    digest,
+                    change: Some(change),
+                })
             }
             Body::Change(_) => None,
         }
     }
 
-    /// Puts a document in force unless a version at least as high already is.
-    fn adopt(&mut self, held: Held) -> bool {
-        if held.mark.version <= self.version() {
+    /// Makes a document active unless the active version is at least as high.
+    fn activate(&mut self, versioned: VersionedDocument) -> bool {
+        if versioned.mark.version <= self.version() {
             return false;
         }
-        self.staged.retain(|staged| staged.held.mark.version > held.mark.version);
-        self.note_news(&held);
-        self.in_force = Some(held);
+        self.staged.retain(|staged| staged.versioned.mark.version > versioned.mark.version);
+        self.note_news(&versioned);
+        self.active = Some(versioned);
         true
     }
 
-    /// Notes how a document that comes into force differs from the one in force.
-    fn note_news(&mut self, held: &Held) {
-        let change = held.change.as_ref().filter(|change| change.base == self.mark());
+    /// Records how a document that becomes active differs from the active one.
+    fn note_news(&mut self, versioned: &VersionedDocument) {
+        let change = versioned.change.as_ref().filter(|change| change.base == self.mark());
         let Some(change) = change else {
             self.recent.clear();
             self.news = Some(News::Whole);
             return;
         };
-        if self.recent.len() >= RECENT {
+        if self.recent.len() >= MAX_RECENT_CHANGES {
             self.recent.pop_front();
         }
         let Change { base, delta } = change.clone();
         let body = Body::Change(delta.clone());
-        self.recent.push_back(Proposal { mark: held.mark, base, body });
+        self.recent.push_back(Proposal { mark: versioned.mark, base, body });
         match self.news.get_or_insert(News::Changes(Vec::new())) {
             News::Changes(changes) => changes.push(delta),
             News::Whole => {}
         }
     }
 
-    /// Puts the staged document in force if it is the one accepted.
-    fn accept(&mut self, mark: Mark) -> bool {
-        let staged = self.staged.iter().find(|staged| staged.held.mark == mark);
-        match staged.map(|staged| staged.held.clone()) {
-            Some(held) => self.adopt(held),
+    /// Makes the staged document with this mark active, if there is one.
+    fn activate_staged(&mut self, mark: Mark) -> bool {
+        let staged = self.staged.iter().find(|staged| staged.versioned.mark == mark);
+        match staged.map(|staged| staged.versioned.clone()) {
+            Some(versioned) => self.activate(versioned),
             None => false,
         }
     }
 
-    /// Reads the rows at once, and passes over a read under way that may have missed a write.
-    fn read_anew(&mut self, now: Instant) {
-        self.reading = None;
+    /// Schedules an immediate read of the rows, and ignores a pending read that may predate a write.
+    fn reread(&mut self, now: Instant) {
+        self.pending_read = None;
         self.next_poll = now;
     }
 
-    fn take_rows(&mut self, now: Instant, rows: &[Row], effects: &mut Effects) -> bool {
+    fn handle_rows(&mut self, now: Instant, rows: &[Row], effects: &mut Effects) -> bool {
         if let Some(row) = rows.iter().find(|row| &*row.key == STAGED) {
-            self.staged_row = self.staged_row.max(row.version);
+            self.staged_row_version = self.staged_row_version.max(row.version);
         }
         let head = rows.iter().find(|row| &*row.key == HEAD);
-        self.head_row = self.head_row.max(head.map_or(0, |row| row.version));
+        self.head_row_version = self.head_row_version.max(head.map_or(0, |row| row.version));
         let mark: Option<Mark> = head.and_then(|row| serde_json::from_str(&row.value).ok());
         self.accepted = self.accepted.max(mark.map_or(0, |mark| mark.version));
-        let settled = self.settle(now, mark, effects);
+        let activated = self.decide(now, mark, effects);
         let Some(mark) = mark.filter(|mark| mark.version > self.version()) else {
-            return settled;
+            return activated;
         };
-        if self.accept(mark) {
+        if self.activate_staged(mark) {
             return true;
         }
         self.fetch(now, mark, effects);
-        settled
+        activated
     }
 }
 
--- a/crates/orioleroute/src/document.rs
+++ b/crates/orioleroute/src/document.rs
@@ -1,7 +1,7 @@
 //! The configuration document that operators submit.
 //!
-//! `docs/CONFIGURATION.md` describes every field. Reading a document is [`Document::from_json`];
-//! it reports every fault at once, so that an operator's form can mark all fields together.
+//! `docs/CONFIGURATION.md` describes every field. [`Document::from_json`] reads and checks a document.
+//! It reports all faults at once, so that an operator's form can mark all invalid fields together.
 
 use std::sync::Arc;
 
@@ -182,7 +182,7 @@
     ///
     /// # Errors
     ///
-    /// Returns every fault found, each with its path, what was found and what is allowed.
+    /// Returns every fault, each with its path, the value found and the values allowed.
     ///
     /// # Examples
     ///
@@ -215,7 +215,7 @@
         shape::schema()
     }
 
-    /// Writes the document as JSON text.
+    /// Returns the document as JSON text.
     pub fn to_json(&self) -> String {
         serde_json::to_string(self).expect("documents have text keys only")
     }
--- a/crates/orioleroute/src/document/check.rs
+++ b/crates/orioleroute/src/document/check.rs
@@ -1,4 +1,4 @@
-//! Checks of a document beyond its JSON shape.
+//! Checks of a document beyond its JSON schema.
 
 use std::fmt::Display;
 
@@ -12,11 +12,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{path}: found {found}, allowed is {allowed}")]
 pub struct Fault {
-    /// Where in the document.
+    /// The path of the value in the document.
     pub path: String,
-    /// What stands there.
+    /// What was found there.
     pub found: String,
-    /// What may stand there.
+    /// What is allowed there.
     pub allowed: String,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Decodes the JSON text.
+/// Decodes a document from JSON text, and returns all faults of types and fields.
 pub(super) fn parse(text: &str) -> Result<Document, Vec<Fault>> {
     let value: Value = serde_json::from_str(text)
         .map_err(|error| vec![Fault::new("document", error, "JSON text")])?;
@@ -41,7 +41,7 @@
     serde_path_to_error::deserialize(&value).map_err(|error| {
         let path = error.path().to_string();
         let cause = error.into_inner();
-        vec![Fault::new(path, cause, "a document of the published schema")]
+        vec![Fault::new(path, cause, "a document that matches the published schema")]
     })
 }
 
@@ -51,10 +51,11 @@
     if document.format != FORMAT {
         faults.push(Fault::new("format", document.format, FORMAT.to_string()));
     }
-    let models = unique(&mut faults, "models", document.models.iter().map(|model| &*model.name));
-    unique(&mut faults, "pools", document.pools.iter().map(|pool| &*pool.name));
-    unique(&mut faults, "adapters", document.adapters.iter().map(|adapter| &*adapter.name));
-    unique(&mut faults, "services", document.services.iter().map(|service| &*service.name));
+    let models =
+        check_names(&mut faults, "models", document.models.iter().map(|model| &*model.name));
+    check_names(&mut faults, "pools", document.pools.iter().map(|pool| &*pool.name));
+    check_names(&mut faults, "adapters", document.adapters.iter().map(|adapter| &*adapter.name));
+    check_names(&mut faults, "services", document.services.iter().map(|service| &*service.name));
     check_pools(document, &models, &mut faults);
     check_adapters(document, &models, &mut faults);
     check_policy(document, &mut faults);
@@ -94,7 +95,7 @@
             if version.is_empty() {
                 faults.push(Fault::new(path, "an empty name", "a name"));
             } else if !seen.insert(version) {
-                faults.push(Fault::new(path, version, "a version named once"));
+                faults.push(Fault::new(path, version, "a unique version"));
             }
         }
         for (index, region) in adapter.regions.iter().enumerate() {
@@ -126,8 +127,8 @@
     }
 }
 
-/// Returns the names and reports those that are empty or stand twice.
-fn unique<'a>(
+/// Returns the set of names, and adds a fault for each empty or duplicate name.
+fn check_names<'a>(
     faults: &mut Vec<Fault>,
     list: &str,
     names: impl Iterator<Item = &'a str>,
@@ -138,7 +139,7 @@
             faults.push(Fault::new(format!("{list}[{index}].name"), "an empty name", "a name"));
         }
         if !seen.insert(name) {
-            faults.push(Fault::new(format!("{list}[{index}].name"), name, "a name used once"));
+            faults.push(Fault::new(format!("{list}[{index}].name"), name, "a unique name"));
         }
     }
     seen
--- a/crates/orioleroute/src/document/shape.rs
+++ b/crates/orioleroute/src/document/shape.rs
@@ -1,7 +1,7 @@
-//! A walk over the JSON that reports every wrong type and field together.
+//! Checks of the JSON against the schema, which report all wrong types and fields together.
 //!
-//! The decoder stops at its first error, which would make an operator mend a document one fault at
-//! a time. The walk follows the published schema, so both say the same.
+//! The decoder stops at its first error, so an operator would have to fix a document one fault at a
+//! time. These checks use the published schema, so they cannot diverge from it.
 
 use std::sync::LazyLock;
 
@@ -16,26 +16,26 @@
     &SCHEMA
 }
 
-/// Returns every place at which `value` does not have the shape of a document.
+/// Returns a fault for each place at which `value` does not match the schema.
 pub(super) fn faults(value: &Value) -> Vec<Fault> {
     let mut faults = Vec::new();
-    walk(&SCHEMA, value, "", &mut faults);
+    check_value(&SCHEMA, value, "", &mut faults);
     faults
 }
 
-fn walk(schema: &Value, value: &Value, path: &str, faults: &mut Vec<Fault>) {
+fn check_value(schema: &Value, value: &Value, path: &str, faults: &mut Vec<Fault>) {
     let schema = resolve(schema);
-    if let Some(allowed) = names(schema) {
+    if let Some(allowed) = enum_names(schema) {
         if !value.as_str().is_some_and(|text| allowed.contains(&text)) {
             faults.push(fault(path, value, &format!("one of {}", allowed.join(", "))));
         }
         return;
     }
     match (schema["type"].as_str(), value) {
-        (Some("object"), Value::Object(fields)) => walk_object(schema, fields, path, faults),
+        (Some("object"), Value::Object(fields)) => check_object(schema, fields, path, faults),
         (Some("array"), Value::Array(items)) => {
             for (index, item) in items.iter().enumerate() {
-                walk(&schema["items"], item, &format!("{path}[{index}]"), faults);
+                check_value(&schema["items"], item, &format!("{path}[{index}]"), faults);
             }
         }
         (Some("string"), Value::String(_)) | (Some("boolean"), Value::Bool(_)) => {}
@@ -47,7 +47,7 @@
     }
 }
 
-fn walk_object(schema: &Value, fields: &Map<String, Value>, path: &str, faults: &mut Vec<Fault>) {
+fn check_object(schema: &Value, fields: &Map<String, Value>, path: &str, faults: &mut Vec<Fault>) {
     let none = Map::new();
     let known = schema["properties"].as_object().unwrap_or(&none);
     let inner = |name: &str| match path {
@@ -56,7 +56,7 @@
     };
     for (name, value) in fields {
         match known.get(name) {
-            Some(schema) => walk(schema, value, &inner(name), faults),
+            Some(schema) => check_value(schema, value, &inner(name), faults),
             None => {
                 let names: Vec<&str> = known.keys().map(String::as_str).collect();
                 let allowed = format!("one of the fields {}", names.join(", "));
@@ -71,14 +71,14 @@
     }
 }
 
-/// Follows a reference to a definition.
+/// Resolves a reference to a definition, and returns any other schema as it is.
 fn resolve(schema: &Value) -> &Value {
     let target = schema["$ref"].as_str().and_then(|name| name.strip_prefix("#/$defs/"));
     target.map_or(schema, |name| &SCHEMA["$defs"][name])
 }
 
-/// Returns the names that an enumeration allows.
-fn names(schema: &Value) -> Option<Vec<&str>> {
+/// Returns the names that an enumeration allows, or `None` if the schema is not an enumeration.
+fn enum_names(schema: &Value) -> Option<Vec<&str>> {
     if let Some(list) = schema["enum"].as_array() {
         return Some(list.iter().filter_map(Value::as_str).collect());
     }
--- a/crates/orioleroute/src/lib.rs
+++ b/crates/orioleroute/src/lib.rs
@@ -1,34 +1,33 @@
-//! Coordination parts of a serving layer for very many LoRA adapters.
+//! Coordination for a serving layer that runs many LoRA adapters.
 //!
-//! The crate is a deterministic core without input or output. [`Core`] takes an [`Event`] and the
-//! time and returns [`Effect`]s; sockets, files and timers are its user's. The daemon
-//! `orioleroute-node` is one user; `docs/DESIGN.md` describes the parts and the reasons for them,
-//! and `docs/GLOSSARY.md` the terms.
+//! The crate is a deterministic core that does no I/O. [`Core`] handles an [`Event`] at a given time
+//! and returns [`Effect`]s; the embedding program owns the sockets, files and timers. The daemon
+//! `orioleroute-node` is one such program. `docs/DESIGN.md` describes the components and the reasons
+//! for them, and `docs/GLOSSARY.md` defines the terms.
 //!
-//! The parts, one module each:
+//! The main modules:
 //!
-//! * [`document`] and [`config`]: the configuration document, and how a new one is accepted once
-//!   and for all regions.
-//! * [`membership`], [`view`] and [`ownership`]: who the instances of a region are, who owns which
-//!   upstream, and the lease under which orders are given.
-//! * [`fleet`], [`routing`] and [`placement`]: the upstreams, the choice of one for a request, and
-//!   the choice of what to load and unload.
-//! * [`request`], [`retry`] and [`claim`]: a caller's request from arrival to its one final answer,
-//!   how often attempts are repeated, and what lets it run at most once.
-//!
-//! * [`ingress`] and [`scheduler`]: the same jobs where the configuration is accepted elsewhere and
-//!   requests come by host and path; see `docs/PLATFORM.md`.
+//! * [`document`] and [`config`]: the configuration document, and how a new version is accepted
+//!   exactly once for all regions.
+//! * [`membership`], [`view`] and [`ownership`]: the instances of a region, the owner of each
+//!   upstream, and the lease under which an instance issues orders.
+//! * [`fleet`], [`routing`] and [`placement`]: the upstreams, the choice of an upstream for a
+//!   request, and the choice of adapters to load and unload.
+//! * [`request`], [`retry`] and [`claim`]: the life of a request from arrival to its single final
+//!   answer, the retry budget, and the claims that make a request run at most once.
+//! * [`ingress`] and [`scheduler`]: the same functions for deployments where another system accepts
+//!   the configuration and requests are routed by host and path; see `docs/PLATFORM.md`.
 //!
 //! # Examples
 //!
-//! Embedding the core means feeding it events and carrying out what it returns:
+//! An embedding program passes events to the core and applies the effects that it returns:
 //!
 //! ```
 //! use orioleroute::prelude::*;
 //! use orioleroute::{Core, instance::Instance as Identity};
 //!
-//! fn carry_out(effect: Effect) {
-//!     // Send the message, ask the table, give the order; outcomes come back as events.
+//! fn apply(effect: Effect) {
+//!     // Send the message, call the table or issue the order, then report the outcome as an event.
 //!     let _ = effect;
 //! }
 //!
@@ -40,7 +39,7 @@
 //! let mut core = Core::new(identity);
 //! for millis in (0..200).step_by(50) {
 //!     let effects = core.handle(Instant::from_millis(millis), Event::Tick);
-//!     effects.into_iter().for_each(carry_out);
+//!     effects.into_iter().for_each(apply);
 //! }
 //! ```
 
--- a/crates/orioleroute/src/membership.rs
+++ b/crates/orioleroute/src/membership.rs
@@ -1,10 +1,11 @@
-//! Membership of a region and the lease under which an instance gives orders.
+//! Membership of a region and the lease under which an instance issues orders.
 //!
-//! The rules, and why they are safe, stand in `docs/DESIGN.md`, section "Leases". In short: a view
-//! changes only by a conditional write in the table. A lease is fresh for [`LEASE`] after a read of
-//! the view's row that showed the applied version, or, when the table does not answer, after all
-//! watchers granted it. A watcher removes a member only once it has granted it nothing for a lease,
-//! and a new owner that engines do not fence waits one more lease before its first order.
+//! `docs/DESIGN.md`, section "Leases", gives the rules and why they are safe. In short: a view
+//! changes only by a conditional write to the table. A lease is valid for [`LEASE_DURATION`] after a
+//! read of the view's row that showed the applied version or, while the table does not answer, after
+//! all watchers granted it. A watcher removes a member only after it has granted it no lease for one
+//! lease duration, and a new owner of an engine that does not check fencing numbers waits for one
+//! more lease duration before its first order.
 
 use std::net::SocketAddr;
 
@@ -21,62 +22,64 @@
 mod poll;
 mod spread;
 
-/// How long a lease lasts after the moment at which its renewal was sent.
-pub const LEASE: Duration = Duration::from_millis(3_000);
+/// The duration of a lease, counted from the moment at which its renewal was sent.
+pub const LEASE_DURATION: Duration = Duration::from_millis(3_000);
 
-/// What a lease is lengthened by for those who wait for its end, to allow for clocks that drift.
+/// The extra time to wait for the end of another instance's lease, to allow for clock drift.
 pub const LEASE_MARGIN: Duration = Duration::from_millis(300);
 
-/// Between two renewals.
-pub const HEARTBEAT: Duration = Duration::from_millis(500);
+/// The interval between lease renewals.
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The silence after which a watcher stops granting.
-pub const SUSPICION: Duration = Duration::from_millis(1_600);
+/// How long a member may be silent before it is suspected to have failed.
+pub const SUSPICION_TIMEOUT: Duration = Duration::from_millis(1_600);
 
-/// Between two reads of the view's row.
-pub const POLL: Duration = Duration::from_millis(1_000);
+/// The interval between reads of the view's row.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// How long a leaving instance waits for an answer of the table.
+/// How long a leaving instance waits for an answer from the table.
 pub const LEAVE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Between two reads of the rows of the other regions.
-pub const WIDE_POLL: Duration = Duration::from_millis(10_000);
+/// The interval between reads of the rows of other regions.
+pub const REMOTE_POLL_INTERVAL: Duration = Duration::from_millis(10_000);
 
 /// How long watchers can extend a lease that the table has not confirmed.
 ///
-/// Whoever takes over from a member that no watcher saw off waits this long before it orders
-/// engines that ignore fencing numbers, so it bounds both the table outage that stops no load and
-/// the time without loads after the loss of a whole region.
-pub const EXTENSION: Duration = Duration::from_secs(15 * 60);
+/// An instance that takes over from a member whose watchers' grants are not known to have ended
+/// waits this long before it issues orders to engines that ignore fencing numbers. So this is both
+/// the longest table outage during which loads continue and the time without loads after the loss
+/// of a whole region.
+pub const MAX_EXTENSION: Duration = Duration::from_secs(15 * 60);
 
-/// How much longer a watcher waits when it cannot tell which view a silent member had applied, so
-/// that a watcher that can tell goes first.
-const UNCLEAN_WAIT: Duration = Duration::from_millis(3_000);
+/// The additional wait of a watcher that does not know which view a silent member had applied, so
+/// that a watcher that knows removes the member first.
+const UNCLEAN_REMOVAL_DELAY: Duration = Duration::from_millis(3_000);
 
-/// Removed members that are still told about their removal, at most.
-const REMOVED: usize = 64;
+/// The maximum number of removed members that are still sent the current view.
+const MAX_REMOVED: usize = 64;
 
 /// The key of the row that lists the regions.
-pub const REGIONS: &str = "regions";
+pub const REGIONS_KEY: &str = "regions";
 
-/// The longest wait for a reply of the table before the operation is asked anew.
+/// How long to wait for a reply from the table before the operation is retried.
 pub const TABLE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// What is known of another member.
+/// What is known about another member.
 #[derive(Clone, Debug, Default)]
 pub struct Peer {
-    /// When it was last heard of.
-    pub heard: Instant,
-    /// The view that it had then applied.
-    pub applied: u64,
-    /// The configuration version that it had then in force.
-    pub config: u64,
-    /// When it was last heard of by a message that cannot have waited while this process was stopped.
-    reached: Instant,
+    /// When a message from it was last handled.
+    pub last_heard: Instant,
+    /// The version of the newest view that it has reported as applied.
+    pub applied_version: u64,
+    /// The active configuration version that it reported with its last granted renewal.
+    pub config_version: u64,
+    /// When a message from it was last handled that cannot have been queued while this process was
+    /// paused.
+    last_contact: Instant,
     /// When this instance last granted its lease.
-    granted: Instant,
-    /// Whether it was ever heard to have applied some view.
-    known: bool,
+    last_grant: Instant,
+    /// Whether it has ever reported an applied view.
+    has_reported: bool,
 }
 
 /// The membership of one instance.
@@ -85,27 +88,32 @@
     identity: Identity,
     views: Map<Arc<str>, View>,
     peers: Map<Arc<str>, Peer>,
+    /// When the newest renewal that each watcher granted was sent.
     grants: Map<Arc<str>, Instant>,
-    confirmed: Option<Instant>,
-    settled_at: Option<Instant>,
+    /// When the last read that showed the applied version of the view was sent.
+    confirmed_at: Option<Instant>,
+    /// When every member was known to have applied the view.
+    acknowledged_at: Option<Instant>,
     next_heartbeat: Instant,
     next_poll: Instant,
-    next_wide_poll: Instant,
-    regions: u64,
-    reached: Option<Instant>,
-    ticked: Instant,
-    paused: bool,
-    paused_at: Instant,
-    last_view: Option<View>,
-    /// Where the members were that a view applied here was the first without.
+    next_remote_poll: Instant,
+    regions_row_version: u64,
+    /// When the last successful read of the table was sent.
+    table_read_at: Option<Instant>,
+    last_tick: Instant,
+    is_paused: bool,
+    pause_detected_at: Instant,
+    /// The view of this region before the applied one.
+    previous_view: Option<View>,
+    /// The peer addresses of members that an applied view removed.
     removed: Map<Arc<str>, SocketAddr>,
-    reading: Option<(Ticket, Instant)>,
-    writing: Option<(Ticket, Instant)>,
+    pending_read: Option<(Ticket, Instant)>,
+    pending_write: Option<(Ticket, Instant)>,
     token: u64,
-    /// Since when it has been leaving.
-    leaving: Option<Instant>,
-    /// Whether the table let it wait too long to leave.
-    is_stranded: bool,
+    /// When this instance was asked to leave.
+    leaving_since: Option<Instant>,
+    /// Whether the table has not answered for too long while this instance was leaving.
+    leave_timed_out: bool,
     changes: u64,
 }
 
@@ -120,23 +128,23 @@
             views: Map::from_iter([(region, own)]),
             peers: Map::default(),
             grants: Map::default(),
-            confirmed: None,
-            settled_at: None,
+            confirmed_at: None,
+            acknowledged_at: None,
             next_heartbeat: Instant::ZERO,
             next_poll: Instant::ZERO,
-            next_wide_poll: Instant::ZERO,
-            regions: 0,
-            reached: None,
-            ticked: Instant::ZERO,
-            paused: false,
-            paused_at: Instant::ZERO,
-            last_view: None,
+            next_remote_poll: Instant::ZERO,
+            regions_row_version: 0,
+            table_read_at: None,
+            last_tick: Instant::ZERO,
+            is_paused: false,
+            pause_detected_at: Instant::ZERO,
+            previous_view: None,
             removed: Map::default(),
-            reading: None,
-            writing: None,
+            pending_read: None,
+            pending_write: None,
             token,
-            leaving: None,
-            is_stranded: false,
+            leaving_since: None,
+            leave_timed_out: false,
             changes: 0,
         }
     }
@@ -151,7 +159,7 @@
         &self.views[&self.identity.region]
     }
 
-    /// Returns the view of a region, if any is known.
+    /// Returns the view of a region, if the region is known.
     pub fn view_of(&self, region: &str) -> Option<&View> {
         self.views.get(region)
     }
@@ -161,18 +169,18 @@
         self.views.values()
     }
 
-    /// Returns a number that grows with each change of a known view.
+    /// Returns a number that increases with each change of a known view.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// Returns the address of an instance for peers, if it is a member of a known view.
+    /// Returns the peer address of an instance, if it is a member of a known view.
     pub fn address(&self, name: &str) -> Option<SocketAddr> {
         let mut members = self.views.values().flat_map(|view| &view.members);
         members.find(|member| &*member.name == name).map(|member| member.peer_address)
     }
 
-    /// Returns what is known of a member.
+    /// Returns what is known about a member.
     pub fn peer(&self, name: &str) -> Option<&Peer> {
         self.peers.get(name)
     }
@@ -184,102 +192,106 @@
             .is_some_and(|member| member.incarnation == self.identity.incarnation)
     }
 
-    /// Returns whether this instance may give orders at `now`.
+    /// Returns whether this instance may issue orders at `now`.
     pub fn holds_lease(&self, now: Instant) -> bool {
         self.is_member() && (self.is_confirmed(now) || self.is_extended(now))
     }
 
-    /// Returns when every member was heard to have applied the view, if that has come about.
-    pub fn settled_at(&self) -> Option<Instant> {
-        self.settled_at
+    /// Returns when every member was known to have applied the view, or `None` if some have not.
+    pub fn acknowledged_at(&self) -> Option<Instant> {
+        self.acknowledged_at
     }
 
-    /// Returns when the leases of all members removed before the applied view will have lapsed, if
-    /// every member was heard to have applied it.
-    pub fn lapsed_at(&self) -> Option<Instant> {
+    /// Returns when the leases of all members removed by the applied view or an earlier one will have
+    /// expired, or `None` while some member is not known to have applied the view.
+    pub fn leases_expire_at(&self) -> Option<Instant> {
         let wait = match self.view().unclean.is_empty() {
-            true => LEASE + LEASE_MARGIN,
-            false => EXTENSION + LEASE_MARGIN,
+            true => LEASE_DURATION + LEASE_MARGIN,
+            false => MAX_EXTENSION + LEASE_MARGIN,
         };
-        self.settled_at.map(|settled| settled + wait)
+        self.acknowledged_at.map(|acknowledged_at| acknowledged_at + wait)
     }
 
     /// Returns whether this instance may answer requests at `now`.
     ///
-    /// It may while it holds its lease. In an outage of the table it also may while it hears from
-    /// most of its region, since it is then not the one that is cut off. After a pause it may not
-    /// until it has heard from the table or a member, since it may have been removed meanwhile.
+    /// It may while it holds its lease. During a table outage it also may while it receives messages
+    /// from a majority of its region, because then it is not on the minority side of a partition.
+    /// After a pause of the process it may not until [`TABLE_TIMEOUT`] has passed or the table has
+    /// answered, because it may have been removed in the meantime.
     pub fn may_serve(&self, now: Instant) -> bool {
         self.is_member()
-            && !self.paused
-            && now < self.ticked + SUSPICION
-            && (self.holds_lease(now) || self.reaches_most(now))
+            && !self.is_paused
+            && now < self.last_tick + SUSPICION_TIMEOUT
+            && (self.holds_lease(now) || self.reaches_majority(now))
     }
 
-    /// Returns whether this instance hears from more than half of its region, itself included.
+    /// Returns whether this instance is in contact with a majority of its region, itself included.
     ///
-    /// Of two equal halves it is the one with the member that comes first in the ring.
-    fn reaches_most(&self, now: Instant) -> bool {
+    /// Of two equal halves, the half with the first member in the ring counts as the majority.
+    fn reaches_majority(&self, now: Instant) -> bool {
         let members = &self.view().members;
-        let reached = |member: &&Identity| {
+        let in_contact = |member: &&Identity| {
             member.name == self.identity.name
-                || self.peers.get(&member.name).is_some_and(|peer| now < peer.reached + LEASE)
+                || self
+                    .peers
+                    .get(&member.name)
+                    .is_some_and(|peer| now < peer.last_contact + LEASE_DURATION)
         };
-        let count = members.iter().filter(reached).count();
+        let count = members.iter().filter(in_contact).count();
         let first = members.iter().min_by_key(|member| digest(&*member.name));
         count * 2 > members.len()
-            || (count * 2 == members.len() && first.is_some_and(|m| reached(&m)))
+            || (count * 2 == members.len() && first.is_some_and(|m| in_contact(&m)))
     }
 
-    /// Returns checks that no view has changed since it was read.
+    /// Returns condition checks that no view and no region was added or changed since the last read.
     pub fn checks(&self) -> Vec<Write> {
         let mut checks: Vec<Write> = self
             .views
             .values()
             .map(|view| Write::check(View::row(&view.region), Expect::unchanged(view.version)))
             .collect();
-        checks.push(Write::check(REGIONS, Expect::unchanged(self.regions)));
+        checks.push(Write::check(REGIONS_KEY, Expect::unchanged(self.regions_row_version)));
         checks
     }
 
-    /// Reads the rows of all regions at the next occasion.
+    /// Schedules a read of the rows of all regions for the next tick.
     pub fn refresh(&mut self) {
-        self.next_wide_poll = Instant::ZERO;
+        self.next_remote_poll = Instant::ZERO;
         self.next_poll = Instant::ZERO;
     }
 
-    /// Asks to leave: the next view will be without this instance.
+    /// Starts to leave: the next view that this instance writes does not include it.
     pub fn leave(&mut self, now: Instant) {
-        self.leaving.get_or_insert(now);
+        self.leaving_since.get_or_insert(now);
     }
 
-    /// Returns whether this instance, asked to leave, has left its view or cannot.
+    /// Returns whether this instance was asked to leave and has left its view or cannot.
     ///
-    /// Without an answer of the table for [`LEAVE_TIMEOUT`] it ends like one that fails: its
-    /// watchers remove it when the table is back.
+    /// If the table does not answer for [`LEAVE_TIMEOUT`], the instance ends as if it had failed: its
+    /// watchers remove it once the table is available again.
     pub fn has_left(&self) -> bool {
-        self.leaving.is_some() && (!self.is_member() || self.is_stranded)
+        self.leaving_since.is_some() && (!self.is_member() || self.leave_timed_out)
     }
 
-    /// Does what is due at `now`.
+    /// Runs the work that is due at `now`: reads and writes of views, renewals and removals.
     pub fn tick(&mut self, now: Instant, config: u64, effects: &mut Effects) {
-        self.notice_pause(now);
-        self.is_stranded = self.leaving.is_some_and(|since| {
-            let heard = self.reached.map_or(since, |reached| reached.max(since));
-            now >= heard + LEAVE_TIMEOUT
+        self.detect_pause(now);
+        self.leave_timed_out = self.leaving_since.is_some_and(|since| {
+            let last_answer = self.table_read_at.map_or(since, |read_at| read_at.max(since));
+            now >= last_answer + LEAVE_TIMEOUT
         });
         self.expire_operations(now);
         self.poll(now, effects);
         if now >= self.next_heartbeat {
-            self.next_heartbeat = now + HEARTBEAT;
-            self.renew(now, config, effects);
-            self.announce(effects);
+            self.next_heartbeat = now + HEARTBEAT_INTERVAL;
+            self.send_renewals(now, config, effects);
+            self.announce_view(effects);
             self.probe_members(now, effects);
         }
-        self.propose(now, effects);
+        self.propose_removals(now, effects);
     }
 
-    /// Takes the outcome of a table operation, and returns whether it was one of this module's.
+    /// Handles the outcome of a table operation, and returns whether this module started it.
     pub fn take_outcome(
         &mut self,
         now: Instant,
@@ -287,20 +299,20 @@
         outcome: &Outcome,
         effects: &mut Effects,
     ) -> bool {
-        if let Some((_, sent)) = self.reading.take_if(|(reading, _)| *reading == ticket) {
+        if let Some((_, sent)) = self.pending_read.take_if(|(read, _)| *read == ticket) {
             if let Outcome::Rows(rows) = outcome {
-                self.take_rows(now, sent, rows, effects);
+                self.handle_rows(now, sent, rows, effects);
             }
             return true;
         }
-        if self.writing.take_if(|(writing, _)| *writing == ticket).is_some() {
+        if self.pending_write.take_if(|(write, _)| *write == ticket).is_some() {
             self.refresh();
             return true;
         }
         false
     }
 
-    /// Takes a message, if it is about membership.
+    /// Handles a message if it is about membership, and ignores others.
     pub fn take_message(
         &mut self,
         now: Instant,
@@ -309,38 +321,38 @@
         effects: &mut Effects,
     ) {
         match message {
-            Message::Renew(renewal) => self.take_renewal(now, from, renewal, effects),
-            Message::Granted(renewal) => self.take_grant(from, renewal),
+            Message::Renew(renewal) => self.handle_renewal(now, from, renewal, effects),
+            Message::Granted(renewal) => self.handle_grant(from, renewal),
             Message::Applied { version, reply } => {
-                self.hear(now, from, *version);
+                self.record_contact(now, from, *version);
                 if *reply {
                     let version = self.view().version;
                     self.send(from, Message::Applied { version, reply: false }, effects);
                 }
-                self.inform(from, *version, effects);
-                self.settle(now);
+                self.send_view_if_behind(from, *version, effects);
+                self.check_acknowledged(now);
             }
-            Message::View(view) => self.take_view(now, view, effects),
+            Message::View(view) => self.handle_view(now, view, effects),
             _ => {}
         }
     }
 
-    /// Notices that this process was stopped for a while, and when it has caught up.
-    fn notice_pause(&mut self, now: Instant) {
-        if now >= self.ticked + SUSPICION {
-            self.paused = true;
-            self.paused_at = now;
+    /// Detects that this process was paused, and clears the pause after [`TABLE_TIMEOUT`].
+    fn detect_pause(&mut self, now: Instant) {
+        if now >= self.last_tick + SUSPICION_TIMEOUT {
+            self.is_paused = true;
+            self.pause_detected_at = now;
             self.refresh();
             for peer in self.peers.values_mut() {
-                peer.reached = Instant::ZERO;
-                // Its silence may be that of this process.
-                peer.granted = now;
+                peer.last_contact = Instant::ZERO;
+                // The peer may only seem silent because this process was paused.
+                peer.last_grant = now;
             }
         }
-        if now >= self.paused_at + TABLE_TIMEOUT {
-            self.paused = false;
+        if now >= self.pause_detected_at + TABLE_TIMEOUT {
+            self.is_paused = false;
         }
-        self.ticked = now;
+        self.last_tick = now;
     }
 
     fn send(&self, to: &Arc<str>, message: Message, effects: &mut Effects) {
--- a/crates/orioleroute/src/membership/poll.rs
+++ b/crates/orioleroute/src/membership/poll.rs
@@ -1,6 +1,6 @@
 //! Reads and writes of the rows that hold the views.
 
-use super::{Membership, POLL, REGIONS, TABLE_TIMEOUT, WIDE_POLL};
+use super::{Membership, POLL_INTERVAL, REGIONS_KEY, REMOTE_POLL_INTERVAL, TABLE_TIMEOUT};
 use crate::effect::Effects;
 use crate::instance::Instance as Identity;
 use crate::prelude::*;
@@ -9,27 +9,27 @@
 
 impl Membership {
     pub(super) fn expire_operations(&mut self, now: Instant) {
-        self.reading.take_if(|(_, sent)| now >= *sent + TABLE_TIMEOUT);
-        self.writing.take_if(|(_, sent)| now >= *sent + TABLE_TIMEOUT);
+        self.pending_read.take_if(|(_, sent)| now >= *sent + TABLE_TIMEOUT);
+        self.pending_write.take_if(|(_, sent)| now >= *sent + TABLE_TIMEOUT);
     }
 
     pub(super) fn poll(&mut self, now: Instant, effects: &mut Effects) {
-        if self.reading.is_some() || now < self.next_poll {
+        if self.pending_read.is_some() || now < self.next_poll {
             return;
         }
-        self.next_poll = now + POLL;
+        self.next_poll = now + POLL_INTERVAL;
         let mut keys = vec![View::row(&self.identity.region)];
-        if now >= self.next_wide_poll {
-            self.next_wide_poll = now + WIDE_POLL;
+        if now >= self.next_remote_poll {
+            self.next_remote_poll = now + REMOTE_POLL_INTERVAL;
             let others = self.views.keys().filter(|region| **region != self.identity.region);
             keys.extend(others.map(|region| View::row(region)));
-            keys.push(REGIONS.into());
+            keys.push(REGIONS_KEY.into());
         }
         let ticket = effects.table(Operation::Read(keys));
-        self.reading = Some((ticket, now));
+        self.pending_read = Some((ticket, now));
     }
 
-    pub(super) fn take_rows(
+    pub(super) fn handle_rows(
         &mut self,
         now: Instant,
         sent: Instant,
@@ -37,27 +37,27 @@
         effects: &mut Effects,
     ) {
         let own = View::row(&self.identity.region);
-        self.reached = Some(sent);
-        self.paused &= sent < self.paused_at;
-        if let Some(row) = rows.iter().find(|row| &*row.key == REGIONS) {
-            self.take_regions(row);
+        self.table_read_at = Some(sent);
+        self.is_paused &= sent < self.pause_detected_at;
+        if let Some(row) = rows.iter().find(|row| &*row.key == REGIONS_KEY) {
+            self.handle_regions(row);
         }
         for row in rows {
             if let Ok(mut view) = serde_json::from_str::<View>(&row.value) {
                 view.version = row.version;
-                self.take_view(now, &view, effects);
+                self.handle_view(now, &view, effects);
             }
         }
         let shown = rows.iter().find(|row| row.key == own).map_or(0, |row| row.version);
         if shown == self.view().version {
-            self.confirmed = Some(sent);
+            self.confirmed_at = Some(sent);
         }
         self.join_or_leave(now, effects);
     }
 
-    /// Learns of regions, whose views are read next.
-    fn take_regions(&mut self, row: &Row) {
-        self.regions = row.version;
+    /// Adds newly listed regions, and schedules a read of their views.
+    fn handle_regions(&mut self, row: &Row) {
+        self.regions_row_version = row.version;
         let names: Vec<Arc<str>> = serde_json::from_str(&row.value).unwrap_or_default();
         for region in names {
             let known = self.views.len();
@@ -72,11 +72,11 @@
     fn join_or_leave(&mut self, now: Instant, effects: &mut Effects) {
         let mut members = self.view().members.clone();
         let mut unclean = self.view().unclean.clone();
-        match (self.is_member(), self.leaving.is_some()) {
+        match (self.is_member(), self.leaving_since.is_some()) {
             (false, false) => {
                 members.retain(|member| member.name != self.identity.name);
                 members.push(self.identity.clone());
-                // A process that starts again under a name proves that the former one has ended.
+                // A process that restarts under a name proves that its previous process has ended.
                 unclean.retain(|name| *name != self.identity.name);
             }
             (true, true) => members.retain(|member| member.name != self.identity.name),
@@ -92,7 +92,7 @@
         unclean: Vec<Arc<str>>,
         effects: &mut Effects,
     ) {
-        if self.writing.is_some() {
+        if self.pending_write.is_some() {
             return;
         }
         self.token = self.token.wrapping_add(1);
@@ -107,16 +107,16 @@
         };
         let mut writes = vec![Write::put(View::row(&next.region), expect, &next)];
         if expect == Expect::Absent {
-            writes.push(self.region_row());
+            writes.push(self.regions_write());
         }
         let ticket = effects.table(Operation::Write(writes));
-        self.writing = Some((ticket, now));
+        self.pending_write = Some((ticket, now));
     }
 
-    /// Returns the write that adds the own region to the list of regions.
-    fn region_row(&self) -> Write {
+    /// Returns the write that adds this instance's region to the list of regions.
+    fn regions_write(&self) -> Write {
         let mut names: Vec<&Arc<str>> = self.views.keys().collect();
         names.sort();
-        Write::put(REGIONS, Expect::unchanged(self.regions), &names)
+        Write::put(REGIONS_KEY, Expect::unchanged(self.regions_row_version), &names)
     }
 }
--- a/crates/orioleroute/src/message.rs
+++ b/crates/orioleroute/src/message.rs
@@ -1,4 +1,4 @@
-//! What instances say to one another.
+//! Messages between instances.
 
 use std::sync::Arc;
 
@@ -9,45 +9,45 @@
 
 /// A one-way message to a peer.
 ///
-/// Messages can be lost, doubled and late; every one of them is safe to take twice, and whatever
-/// matters is repeated until its effect is seen. The daemon carries them as JSON-RPC
-/// notifications, with the method named by the variant.
+/// Messages can be lost, duplicated and delayed. Handling a message twice is safe, and a message
+/// whose effect matters is repeated until the effect is observed. The daemon sends messages as
+/// JSON-RPC notifications, with the variant as the method name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, strum::IntoStaticStr)]
 #[serde(tag = "method", content = "params", rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Message {
-    /// Asks a watcher to grant the sender's lease once more; also the heartbeat.
+    /// Requests a renewal of the sender's lease from a watcher; also serves as the heartbeat.
     Renew(Renewal),
-    /// Grants a lease that was asked for.
+    /// Grants a requested lease.
     Granted(Renewal),
-    /// Says which view of its region the sender has applied.
+    /// Reports which view of its region the sender has applied.
     Applied {
         /// The version of the view.
         version: u64,
-        /// Whether the sender waits for the receiver to say the same.
+        /// Whether the receiver should reply with the version that it has applied.
         reply: bool,
     },
-    /// Passes a view on to an instance that is behind.
+    /// Sends a view to an instance that has an older one.
     View(View),
-    /// Passes a document on that is about to be accepted.
+    /// Sends a document to be staged before it is accepted.
     Stage(Proposal),
-    /// Says that the sender holds a staged document.
+    /// Confirms that the sender has staged a document.
     Staged {
         /// The version and token of the submission.
         mark: Mark,
         /// The sender's incarnation.
         incarnation: u64,
     },
-    /// Says that a version was accepted.
+    /// Announces that a version was accepted.
     Accepted(Mark),
-    /// Asks for the document in force if it is newer than the sender's.
+    /// Requests the receiver's active document if it is newer than the sender's.
     Fetch {
         /// The sender's version.
         version: u64,
     },
-    /// Passes the document in force on.
+    /// Sends the active document.
     Document(Proposal),
-    /// Says whether the sender holds a revision, to its homes in other regions.
+    /// Reports to the homes of a revision in other regions whether the sender holds it.
     Holds {
         /// The served name, `adapter@version`.
         name: Arc<str>,
@@ -56,16 +56,16 @@
     },
 }
 
-/// A renewal of a lease, as asked and as granted.
+/// A renewal of a lease, used for both the request and the grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Renewal {
     /// The view under which the lease is held.
     pub version: u64,
-    /// When the holder asked, in microseconds of its own clock; the lease counts from then.
+    /// When the holder sent the request, in microseconds of its own clock; the lease starts then.
     pub sent: u64,
-    /// The configuration version in force at the sender.
+    /// The active configuration version of the holder.
     pub config: u64,
-    /// The sender's incarnation.
+    /// The holder's incarnation.
     pub incarnation: u64,
 }
 
@@ -74,13 +74,13 @@
 pub struct Proposal {
     /// The version and the token of the submission.
     pub mark: Mark,
-    /// The version that it replaces.
+    /// The version that it replaces or applies to.
     pub base: Mark,
     /// The document.
     pub body: Body,
 }
 
-/// A version of the configuration and the token of the submission that made it.
+/// A version of the configuration and the token of the submission that created it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Mark {
     /// The version; zero before the first.
@@ -89,12 +89,12 @@
     pub token: u64,
 }
 
-/// A document, whole or as a change.
+/// A document, either whole or as a change of its base.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Body {
     /// The whole document.
     Whole(Arc<Document>),
-    /// What changes the document that it replaces.
+    /// The change of the base document.
     Change(Arc<Delta>),
 }
--- a/crates/orioleroute/src/operator.rs
+++ b/crates/orioleroute/src/operator.rs
@@ -1,4 +1,4 @@
-//! Commands of operators and the answers to them.
+//! Operator commands and the answers to them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,21 +13,21 @@
 pub enum Command {
     /// Submits a document to replace the version `base`.
     Submit {
-        /// The version that the operator started from; zero for the first document.
+        /// The version on which the document is based; zero for the first document.
         base: u64,
         /// The document as JSON text.
         document: Arc<str>,
     },
-    /// Asks for the document in force.
+    /// Requests the active document.
     Document,
-    /// Asks what holds where.
+    /// Requests the status of the system as this instance knows it.
     Status,
-    /// Asks why an adapter is where it is.
+    /// Requests an explanation of an adapter's placement.
     Explain {
         /// The adapter, or `adapter@version`.
         model: Arc<str>,
     },
-    /// Asks the instance to leave once its streams have ended.
+    /// Tells the instance to leave once its streams have ended.
     Drain,
 }
 
@@ -42,49 +42,49 @@
     },
     /// The document has faults; nothing was accepted.
     Invalid {
-        /// All of them.
+        /// All faults of the document.
         faults: Vec<Fault>,
     },
     /// Another document was accepted first; nothing was accepted.
     Conflict {
-        /// The version now in force.
+        /// The active version.
         version: u64,
     },
-    /// Not accepted yet, since these members have not confirmed it, or the table does not answer.
+    /// Not accepted yet, because members have not confirmed it or the table does not answer.
     Pending {
-        /// The version that it will have.
+        /// The version that the document will have.
         version: u64,
-        /// The regions that are missing.
+        /// The regions with members that have not confirmed it.
         regions: Vec<Arc<str>>,
     },
-    /// The document in force.
+    /// The active document.
     Document {
         /// Its version; zero if there is none.
         version: u64,
         /// Its JSON text.
         document: Arc<str>,
     },
-    /// What holds where.
+    /// The status of the system.
     Status(Status),
-    /// Why an adapter is where it is.
+    /// The reasons for an adapter's placement.
     Explanation(Explanation),
     /// The instance is leaving.
     Draining,
-    /// The command could not be done.
+    /// The command failed.
     Failed {
-        /// Why.
+        /// The reason, as text.
         reason: Arc<str>,
     },
 }
 
-/// What one instance knows of the whole system.
+/// The status of the system as one instance knows it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// The configuration version in force here.
+    /// The active configuration version of this instance.
     pub version: u64,
-    /// The version that is staged but not known to be accepted.
+    /// The newest version that is staged but not known to be accepted.
     pub staged: Option<u64>,
-    /// Whether this instance holds a fresh lease.
+    /// Whether this instance holds a valid lease.
     pub lease: bool,
     /// The instances of all known regions.
     pub instances: Vec<InstanceStatus>,
@@ -92,20 +92,20 @@
     pub upstreams: Vec<UpstreamStatus>,
 }
 
-/// What is known of one instance.
+/// The status of one instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct InstanceStatus {
     /// The name.
     pub name: Arc<str>,
     /// The region.
     pub region: Arc<str>,
-    /// Where operators connect.
+    /// The address for operators.
     pub operator_address: SocketAddr,
-    /// The configuration version in force there, if it was heard of lately.
+    /// The active configuration version of the instance, if known.
     pub version: Option<u64>,
 }
 
-/// What is known of one upstream.
+/// The status of one upstream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UpstreamStatus {
     /// The name.
@@ -114,38 +114,38 @@
     pub pool: Arc<str>,
     /// The region.
     pub region: Arc<str>,
-    /// Whether what it holds is what it should hold.
+    /// Whether its loaded adapters match the active configuration.
     pub holding: Holding,
-    /// The served names that are loaded.
+    /// The served names of the loaded adapters.
     pub loaded: Vec<Arc<str>>,
-    /// The requests that this instance has running on it.
+    /// The number of requests of this instance that are running on it.
     pub running: u32,
 }
 
-/// Whether an upstream matches the configuration in force.
+/// Whether an upstream matches the active configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, strum::Display)]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Holding {
-    /// It holds nothing that the configuration does not have.
+    /// Every loaded adapter is in the configuration.
     Holds,
-    /// Orders to bring it there are under way.
+    /// Orders that bring it in line with the configuration are in progress.
     Pending,
-    /// It has not reported lately.
+    /// It has not reported recently.
     Unknown,
 }
 
-/// Why an adapter is where it is.
+/// The reasons for an adapter's placement.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Explanation {
     /// The served name.
     pub name: Arc<str>,
-    /// The instances that serve it, in order of preference.
+    /// The homes of the adapter, in order of preference.
     pub homes: Vec<Arc<str>>,
-    /// The upstreams of this instance that hold it.
+    /// The upstreams of this instance on which it is loaded.
     pub loaded: Vec<Arc<str>>,
-    /// The requests that wait for it here.
+    /// The number of requests that wait for it at this instance.
     pub waiting: u32,
-    /// What decided it, in words.
+    /// The deciding reason, as text.
     pub reason: Arc<str>,
 }
--- a/crates/orioleroute/src/ownership.rs
+++ b/crates/orioleroute/src/ownership.rs
@@ -1,7 +1,8 @@
-//! Who owns which upstream, and which instances are home to a base model's adapters.
+//! The owner of each upstream, and the instances that are home to a base model's adapters.
 //!
-//! The index is rebuilt when a view, the list or the pools change, so that a routing decision costs
-//! the same however many upstreams there are; see `docs/DESIGN.md`, section "Ownership".
+//! The index is rebuilt when a view, the list of upstreams or the pools change, so that the cost of a
+//! routing decision does not depend on the number of upstreams; see `docs/DESIGN.md`, section
+//! "Ownership".
 
 use crate::catalog::Catalog;
 use crate::fleet::Fleet;
@@ -17,49 +18,49 @@
     pub instance: Identity,
     /// A digest of its name, for rendezvous hashing.
     pub digest: u64,
-    /// The upstreams of the base model that it owns.
+    /// The number of upstreams of the base model that it owns.
     pub upstreams: u32,
 }
 
-/// How far this instance may go with an upstream that it owns.
+/// The rights of this instance on an upstream that it owns.
 ///
-/// A former owner may act until its lease lapses, so that the right to order and the right to unload
-/// come later than the ownership. Once there, they last through the following views, since nobody
-/// else has owned the upstream since; see `docs/DESIGN.md`, section "Leases".
+/// A previous owner may act until its lease expires, so the rights to issue orders and to unload are
+/// gained later than the ownership. Once gained, they persist through the following views, because
+/// no other instance has owned the upstream since; see `docs/DESIGN.md`, section "Leases".
 #[derive(Clone, Copy, Debug)]
 struct Tenure {
-    /// When it gained the upstream.
-    gained: Instant,
-    /// When every member had applied a view in which it owns the upstream.
-    settled: Option<Instant>,
-    /// When the leases of all former owners had lapsed.
-    lapsed: Option<Instant>,
-    /// Whether the upstream is known to refuse the orders of all former owners.
+    /// When this instance became the owner.
+    gained_at: Instant,
+    /// When every member had applied a view in which this instance is the owner.
+    acknowledged_at: Option<Instant>,
+    /// When the leases of all previous owners had expired.
+    leases_expired_at: Option<Instant>,
+    /// Whether the upstream is known to refuse the orders of all previous owners.
     fenced: bool,
 }
 
 impl Home {
-    /// Returns the score of this home for a revision, by which homes share the revisions in
-    /// proportion to their upstreams.
+    /// Returns the rendezvous score of this home for a revision, which is weighted so that each home
+    /// gets a share of the revisions in proportion to its upstreams.
     fn score(&self, revision: u64) -> f64 {
         score(revision, self.digest, self.upstreams)
     }
 }
 
-/// The index of one instance.
+/// The ownership index of one instance.
 #[derive(Debug, Default)]
 pub struct Ownership {
     homes: Map<Arc<str>, Map<Arc<str>, Vec<Home>>>,
     owned: Map<Arc<str>, Vec<key::Upstream>>,
-    /// The upstreams that this instance owns; a map, since walking a secondary map costs as much
-    /// as there are upstreams.
-    mine: Map<key::Upstream, Tenure>,
-    /// The version of the view of the own region that the index was built from.
-    version: u64,
+    /// The upstreams that this instance owns. This is a hash map because iterating over a slotmap
+    /// `SecondaryMap` takes time proportional to all upstreams, not only the owned ones.
+    tenures: Map<key::Upstream, Tenure>,
+    /// The version of this region's view from which the index was built.
+    view_version: u64,
 }
 
 impl Ownership {
-    /// Brings the index to the views, the list and the pools.
+    /// Rebuilds the index from the views, the list of upstreams and the pools.
     pub fn rebuild(
         &mut self,
         now: Instant,
@@ -69,88 +70,97 @@
     ) {
         self.homes.clear();
         self.owned.clear();
-        let mut former = std::mem::take(&mut self.mine);
+        let mut previous = std::mem::take(&mut self.tenures);
         let version = membership.view().version;
-        if version > self.version + 1 {
-            // Somebody else may have owned anything in a view that was passed over.
-            former.clear();
+        if version > self.view_version + 1 {
+            // In a view that was skipped, another instance may have owned any of the upstreams.
+            previous.clear();
         }
-        self.version = version;
+        self.view_version = version;
         let own = membership.identity();
-        // The names of members are digested once, not once for each upstream.
+        // The digest of each member's name is computed once, not once for each upstream.
         let regions: Map<&str, Vec<(u64, &Identity)>> =
             membership.views().map(|view| (&*view.region, view.digests().collect())).collect();
         for (key, upstream) in fleet.iter() {
             let listing = &upstream.listing;
             let Some(members) = regions.get(&*listing.region) else { continue };
             let Some(owner) = winner(upstream.digest, members.iter().copied()) else { continue };
-            let mine = owner.name == own.name;
-            if mine {
-                let fresh = Tenure { gained: now, settled: None, lapsed: None, fenced: false };
-                self.mine.insert(key, former.get(&key).copied().unwrap_or(fresh));
+            let is_owner = owner.name == own.name;
+            if is_owner {
+                let new_tenure = Tenure {
+                    gained_at: now,
+                    acknowledged_at: None,
+                    leases_expired_at: None,
+                    fenced: false,
+                };
+                self.tenures.insert(key, previous.get(&key).copied().unwrap_or(new_tenure));
             }
             let Some(pool) = catalog.pool(&listing.pool) else { continue };
             let models = self.homes.entry(listing.region.clone()).or_default();
             add_home(models.entry(pool.model.clone()).or_default(), owner);
-            if mine && listing.region == own.region {
+            if is_owner && listing.region == own.region {
                 self.owned.entry(pool.model.clone()).or_default().push(key);
             }
         }
     }
 
     /// Returns whether this instance owns an upstream.
-    pub fn is_mine(&self, key: key::Upstream) -> bool {
-        self.mine.contains_key(&key)
+    pub fn owns(&self, key: key::Upstream) -> bool {
+        self.tenures.contains_key(&key)
     }
 
-    /// Notes how far the rights to the owned upstreams have come at `now`, and returns whether there
-    /// are upstreams on which the leases of all former owners have now lapsed.
+    /// Updates the rights on the owned upstreams at `now`, and returns whether there are upstreams on
+    /// which the leases of all previous owners have newly expired.
     pub fn mature(&mut self, now: Instant, membership: &Membership) -> bool {
-        let settled = membership.settled_at();
-        let lapsed = membership.lapsed_at().filter(|lapsed| now >= *lapsed);
+        let acknowledged_at = membership.acknowledged_at();
+        let expired_at = membership.leases_expire_at().filter(|expire_at| now >= *expire_at);
         let mut any = false;
-        for tenure in self.mine.values_mut() {
-            tenure.settled = tenure.settled.or(settled);
-            any |= tenure.lapsed.is_none() && lapsed.is_some();
-            tenure.lapsed = tenure.lapsed.or(lapsed);
+        for tenure in self.tenures.values_mut() {
+            tenure.acknowledged_at = tenure.acknowledged_at.or(acknowledged_at);
+            any |= tenure.leases_expired_at.is_none() && expired_at.is_some();
+            tenure.leases_expired_at = tenure.leases_expired_at.or(expired_at);
         }
         any
     }
 
-    /// Returns whether former owners of an upstream can give no orders that it would take.
+    /// Returns whether an upstream would carry out no further order of a previous owner.
     ///
-    /// Engines that check fencing numbers refuse them, so there is no wait for their leases.
+    /// `fenced` is whether the engine checks fencing numbers. Such engines refuse those orders, so
+    /// there is no need to wait for the leases of previous owners to expire.
     pub fn is_settled(&self, key: key::Upstream, fenced: bool) -> bool {
-        self.mine.get(&key).is_some_and(|tenure| match fenced {
-            true => tenure.settled.is_some(),
-            false => tenure.lapsed.is_some(),
+        self.tenures.get(&key).is_some_and(|tenure| match fenced {
+            true => tenure.acknowledged_at.is_some(),
+            false => tenure.leases_expired_at.is_some(),
         })
     }
 
-    /// Notes that an upstream that checks fencing numbers has done an order of this instance's.
+    /// Records that an upstream that checks fencing numbers has carried out an order of this instance.
     pub fn fence(&mut self, key: key::Upstream) {
-        if let Some(tenure) = self.mine.get_mut(&key) {
+        if let Some(tenure) = self.tenures.get_mut(&key) {
             tenure.fenced = true;
         }
     }
 
-    /// Returns whether no former owner can unload anything from an owned upstream any more, so that
-    /// what it holds can be used.
+    /// Returns whether no previous owner can still unload anything from an owned upstream, so that
+    /// its loaded adapters can be used.
     pub fn is_safe(&self, key: key::Upstream) -> bool {
-        self.mine.get(&key).is_some_and(|tenure| tenure.fenced || tenure.lapsed.is_some())
+        self.tenures
+            .get(&key)
+            .is_some_and(|tenure| tenure.fenced || tenure.leases_expired_at.is_some())
     }
 
     /// Returns since when no other instance sends requests to an owned upstream.
     ///
-    /// Fencing numbers are on orders only, so that a former owner's lease counts for all engines.
+    /// Only orders carry fencing numbers, so the lease of a previous owner must expire even for
+    /// engines that check them.
     pub fn alone_since(&self, key: key::Upstream) -> Option<Instant> {
-        let tenure = self.mine.get(&key)?;
-        tenure.lapsed.map(|lapsed| lapsed.max(tenure.gained))
+        let tenure = self.tenures.get(&key)?;
+        tenure.leases_expired_at.map(|expired_at| expired_at.max(tenure.gained_at))
     }
 
     /// Returns the upstreams that this instance owns.
     pub fn mine(&self) -> impl Iterator<Item = key::Upstream> {
-        self.mine.keys().copied()
+        self.tenures.keys().copied()
     }
 
     /// Returns the owned upstreams that run a base model.
@@ -158,13 +168,13 @@
         self.owned.get(model).map_or(&[], |keys| keys)
     }
 
-    /// Returns the instance of a region that is home to a revision with this digest.
+    /// Returns the home in a region of the revision with this digest.
     pub fn home(&self, region: &str, model: &str, revision: u64) -> Option<&Home> {
         let homes = self.homes.get(region)?.get(model)?;
         homes.iter().max_by(|one, other| one.score(revision).total_cmp(&other.score(revision)))
     }
 
-    /// Returns the homes of a revision in a region, in order of preference.
+    /// Returns the homes in a region of the revision with this digest, in order of preference.
     pub fn homes(&self, region: &str, model: &str, revision: u64) -> Vec<&Home> {
         let homes = self.homes.get(region).and_then(|models| models.get(model));
         let mut homes: Vec<&Home> = homes.into_iter().flatten().collect();
--- a/crates/orioleroute/src/prelude.rs
+++ b/crates/orioleroute/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The common types, for a single `use`.
+//! Commonly used types, for import by a single `use`.
 
 pub use std::sync::Arc;
 pub use std::time::Duration;
--- a/crates/orioleroute/src/table.rs
+++ b/crates/orioleroute/src/table.rs
@@ -1,8 +1,8 @@
 //! Reads and conditional writes of the platform's table service.
 //!
-//! The table is the only authority on what is agreed or kept. Its replies can be lost after a
-//! write took effect, so every value that is written carries a token of its writer, and an
-//! [`Outcome::Unknown`] is settled by reading, never by guessing.
+//! The table is the only source of truth for shared and durable state. A reply can be lost after a
+//! write took effect, so every written value carries a token of its writer, and an
+//! [`Outcome::Unknown`] is resolved by reading the row.
 
 use std::sync::Arc;
 
@@ -13,13 +13,13 @@
 pub struct Row {
     /// The key.
     pub key: Arc<str>,
-    /// The number of writes that the row has had, from 1.
+    /// The number of writes that the row has had, starting at 1.
     pub version: u64,
     /// The value, JSON text.
     pub value: Arc<str>,
 }
 
-/// What a row must be for a write to take effect.
+/// The condition on a row under which a write takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expect {
     /// The row does not exist.
@@ -29,7 +29,7 @@
 }
 
 impl Expect {
-    /// Returns the condition that a row still has the version last read; zero means no row.
+    /// Returns the condition that a row still has the version last read; zero if it did not exist.
     pub fn unchanged(version: u64) -> Self {
         if version == 0 { Self::Absent } else { Self::Version(version) }
     }
@@ -85,8 +85,8 @@
     Written,
     /// Nothing was written; these indices of the writes had unmet conditions.
     Conflict(Vec<usize>),
-    /// The service said that it did nothing, or could not be connected to.
+    /// The service reported that it did nothing, or no connection could be established.
     Failed,
-    /// No reply came: the write may or may not have taken effect.
+    /// No reply was received: the write may or may not have taken effect.
     Unknown,
 }
--- a/crates/orioleroute/src/view.rs
+++ b/crates/orioleroute/src/view.rs
@@ -1,4 +1,4 @@
-//! Views: which instances a region has, and who owns which upstream.
+//! Views: the instances of a region, from which the owner of each upstream follows.
 
 use std::sync::Arc;
 
@@ -7,23 +7,24 @@
 use crate::hash::{digest, weight, winner};
 use crate::instance::Instance;
 
-/// Instances that grant one instance's lease, at most.
+/// The maximum number of instances that grant one instance's lease.
 pub const WATCHERS: usize = 2;
 
 /// The members of one region, as agreed in the table.
 ///
-/// The row's version is the view's version, and the fencing number of every order given under it.
+/// The version of the row is the version of the view and the fencing number of all orders issued
+/// under it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
     /// The region.
     pub region: Arc<str>,
-    /// The version; zero before the first is known.
+    /// The version; zero if no view is known yet.
     pub version: u64,
-    /// The token of the write that made it, by which its writer knows it again.
+    /// The token of the write that created it, by which its writer recognises it.
     pub token: u64,
     /// The members, in the order in which they joined.
     pub members: Vec<Instance>,
-    /// Former members that were removed without proof that no watcher extends their leases.
+    /// Removed members whose leases may still be extended by watchers.
     pub unclean: Vec<Arc<str>>,
 }
 
@@ -48,7 +49,7 @@
         self.members.iter().map(|member| (digest(&*member.name), member))
     }
 
-    /// Returns the watchers of `name`: the members that follow it in a fixed order of hashes.
+    /// Returns the watchers of `name`: the members that follow it in the ring, ordered by hash.
     pub fn watchers(&self, name: &str) -> impl Iterator<Item = &Instance> {
         let ring = self.ring();
         let start = ring.iter().position(|member| &*member.name == name);
@@ -57,9 +58,10 @@
         (1..=count).map(move |step| ring[(start + step) % ring.len()])
     }
 
-    /// Returns the members that `name` watches: those that precede it in the order of hashes.
+    /// Returns the members that `name` watches: those that precede it in the ring.
     ///
-    /// This sorts the members once, where asking [`Self::is_watcher`] of each sorts them each time.
+    /// This sorts the members once, whereas a call of [`Self::is_watcher`] for each member would sort
+    /// them each time.
     pub fn watched(&self, name: &str) -> impl Iterator<Item = &Instance> {
         let ring = self.ring();
         let end = ring.iter().position(|member| &*member.name == name);
--- a/crates/orioleroute/tests/common/mod.rs
+++ b/crates/orioleroute/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Worlds, documents and requests for the tests of coordination.
+//! Simulated systems, documents and requests for the coordination tests.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::time::Duration;
@@ -10,12 +10,13 @@
 
 pub const ADAPTERS: usize = 12;
 
-/// A document with adapters of one base model that runs on engines that do and do not check
-/// fencing numbers, in which each adapter has `versions` versions.
+/// Returns a document with [`ADAPTERS`] adapters of one base model. Each adapter has `versions`
+/// versions. There is one pool of engines that check fencing numbers and one that ignores them.
 pub fn document(versions: usize, slots: u32) -> String {
     document_of(ADAPTERS, versions, slots)
 }
 
+/// Returns a document like that of [`document`] with `adapters` adapters.
 pub fn document_of(adapters: usize, versions: usize, slots: u32) -> String {
     let versions: Vec<String> = (1..=versions).map(|version| format!("v{version}")).collect();
     let adapters: Vec<_> = (0..adapters)
@@ -40,7 +41,7 @@
     .to_string()
 }
 
-/// What a world is made of.
+/// The size and kind of a simulated system; `nodes` and `engines` are per region.
 #[derive(Clone, Copy)]
 pub struct Shape {
     pub regions: &'static [&'static str],
@@ -53,7 +54,7 @@
 pub const ONE_REGION: Shape =
     Shape { regions: &["zurich"], nodes: 3, engines: 3, slots: 4, checks_fencing: true };
 
-/// A world in which a document is in force and every lease is fresh.
+/// Returns a simulated system with an active document, in which every lease is valid.
 pub fn world(seed: u64, shape: Shape) -> World {
     let mut world = World::new(seed);
     for region in shape.regions {
@@ -76,25 +77,26 @@
     world
 }
 
-/// A request for an adapter that may be sent again.
+/// Returns a repeatable request for the default version of an adapter.
 pub fn request(adapter: usize, timeout: Duration) -> Spec {
     Spec { timeout: Some(timeout), ..Spec::new(Target::Model(format!("adapter-{adapter}").into())) }
 }
 
-/// Asks until a whole answer comes, at most for `limit`, and returns how long that took.
+/// Sends requests until one is answered completely, and returns the time that took; `None` after
+/// `limit`.
 pub fn time_to_answer(
     world: &mut World,
     node: usize,
     adapter: usize,
     limit: Duration,
 ) -> Option<Duration> {
-    let begun = world.now;
-    while world.now < begun + limit {
+    let started = world.now;
+    while world.now < started + limit {
         let number = world.ask(node, request(adapter, limit));
-        let left = limit.saturating_sub(world.now.since(begun));
+        let left = limit.saturating_sub(world.now.since(started));
         world.run_until(left, |world| world.outcome(number).is_some());
         if is_whole(world, number) {
-            return Some(world.now.since(begun));
+            return Some(world.now.since(started));
         }
         world.run(Duration::from_millis(100));
     }
@@ -105,7 +107,7 @@
     matches!(world.outcome(number), Some(Outcome::Whole(_)))
 }
 
-/// Returns the node that owns the upstream, as a node of its region sees it.
+/// Returns the node that owns the upstream according to the view of a live node of its region.
 pub fn owner(world: &World, upstream: usize) -> usize {
     let listing = &world.engines[upstream].listing;
     let core = world
--- a/crates/orioleroute/tests/configuration.rs
+++ b/crates/orioleroute/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! One document is accepted for all regions, and operators are told the truth about it.
+//! A document is accepted once for all regions, and operators receive a correct answer about it.
 
 mod common;
 
@@ -33,7 +33,7 @@
 
 #[test]
 fn an_accepted_document_is_in_force_everywhere_within_4_s() {
-    let mut taken = Vec::new();
+    let mut elapsed = Vec::new();
     for seed in 0..20 {
         let mut world = world(seed, TWO_REGIONS);
         let ticket = submit(&mut world, 4, 1, 2);
@@ -42,16 +42,16 @@
             world.platform.rows.get("config/head").is_some_and(|row| row.version == 2)
         });
         let accepted = world.now;
-        // The news of the acceptance is lost for half of the seeds.
+        // For half of the seeds the announcements of the acceptance are lost.
         world.cuts.extend((0..6).filter(|_| seed % 2 == 1).map(|to| (4, to)));
         world.run_until(Duration::from_secs(4), |world| versions(world) == [2; 6]);
 
         assert_eq!(versions(&world), [2; 6], "seed {seed}");
         assert_eq!(world.answers[&ticket], Answer::Accepted { version: 2 }, "seed {seed}");
-        taken.push(world.now.since(accepted));
+        elapsed.push(world.now.since(accepted));
     }
-    taken.sort();
-    println!("in force everywhere: median {:?}, worst {:?}", taken[10], taken[19]);
+    elapsed.sort();
+    println!("active everywhere: median {:?}, worst {:?}", elapsed[10], elapsed[19]);
 }
 
 #[test]
@@ -70,12 +70,12 @@
 
         let accepted = [first, second]
             .map(|ticket| matches!(world.answers[&ticket], Answer::Accepted { version: 2 }));
-        let told = [&world.answers[&first], &world.answers[&second]];
-        assert_eq!(accepted.iter().filter(|won| **won).count(), 1, "seed {seed}: {told:?}");
+        let answers = [&world.answers[&first], &world.answers[&second]];
+        assert_eq!(accepted.iter().filter(|won| **won).count(), 1, "seed {seed}: {answers:?}");
         assert_eq!(versions(&world), [2; 6], "seed {seed}");
-        let in_force = world.nodes[0].core.as_ref().unwrap().catalog().current().count();
+        let revisions = world.nodes[0].core.as_ref().unwrap().catalog().current().count();
         let winner = if accepted[0] { 2 } else { 3 };
-        assert_eq!(in_force, common::ADAPTERS * winner, "seed {seed}: {told:?}");
+        assert_eq!(revisions, common::ADAPTERS * winner, "seed {seed}: {answers:?}");
         assert_eq!(world.checker.breaches(), [], "seed {seed}");
     }
 }
@@ -143,7 +143,7 @@
     })
 }
 
-/// Lets a node be removed, and three documents be accepted without it.
+/// Returns a system from which a paused node is removed, after which three documents are accepted.
 fn world_with_one_behind(adapters: usize) -> World {
     let mut world = world(1, ONE_REGION);
     for adapter in 0..common::ADAPTERS {
@@ -225,7 +225,7 @@
             left == right && applied.pools == new.pools && applied.policy == new.policy
         });
         prop_assert!(same);
-        // A wrong base is refused, unless the change happens to make up for all its differences.
+        // A wrong base is rejected, unless applying the change removes all its differences.
         if let Some(reached) = delta.apply(&other) {
             prop_assert_eq!(reached.digest(), new.digest());
         }
--- a/crates/orioleroute/tests/document.rs
+++ b/crates/orioleroute/tests/document.rs
@@ -1,4 +1,4 @@
-//! Faults of documents are reported together, and the published schema is current.
+//! All faults of a document are reported together, and the published schema is up to date.
 
 use orioleroute::document::Document;
 use rstest::rstest;
@@ -15,7 +15,7 @@
     })
 }
 
-/// Returns the paths of the faults of the document with one value replaced.
+/// Returns the paths of the faults in the document after one value is replaced.
 fn paths(pointer: &str, value: Value) -> Vec<String> {
     let mut document = document();
     *document.pointer_mut(pointer).expect("it is there") = value;
@@ -78,8 +78,8 @@
     assert_eq!(faults.len(), 1);
 }
 
-/// After a change of the format, `cargo run -p oriolectl -- schema > schema/configuration.json`
-/// brings the published schema up to date.
+/// After a change of the format, update the published schema with
+/// `cargo run -p oriolectl -- schema > schema/configuration.json`.
 #[test]
 fn the_published_schema_is_current() {
     let published = include_str!("../../../schema/configuration.json");
--- a/crates/orioleroute/tests/histories/mod.rs
+++ b/crates/orioleroute/tests/histories/mod.rs
@@ -1,4 +1,4 @@
-//! Histories of several cores: what can happen in one, and how it is looked at.
+//! Random histories of several cores: their steps, and how they are run and checked.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::time::Duration;
@@ -15,7 +15,7 @@
 pub const ENGINES_PER_REGION: usize = 3;
 pub const ADAPTERS: usize = 12;
 
-/// One thing that happens in a history.
+/// One step of a history.
 #[derive(Clone, Debug)]
 pub enum Step {
     Ask {
@@ -49,7 +49,7 @@
     AnswersLost(usize, bool),
     ReportsLate(usize, u64),
     Leave(usize),
-    /// Two operators submit at two nodes at once.
+    /// Two operators submit documents at two nodes at the same time.
     Race {
         one: usize,
         other: usize,
@@ -67,6 +67,7 @@
     Step::Messages(Network { doubled, delayed, delay: Duration::from_millis(delay) })
 }
 
+/// Returns a strategy for faults.
 pub fn fault() -> impl Strategy<Value = Step> {
     let node = 0..REGIONS.len() * NODES_PER_REGION;
     let engine = 0..REGIONS.len() * ENGINES_PER_REGION;
@@ -94,6 +95,7 @@
     ]
 }
 
+/// Returns a strategy for steps: requests, operator commands, recoveries, waits and faults.
 pub fn step() -> impl Strategy<Value = Step> {
     let node = 0..REGIONS.len() * NODES_PER_REGION;
     prop_oneof![
@@ -111,7 +113,8 @@
     ]
 }
 
-/// Returns a document in which every other adapter has so many versions, the last one its default.
+/// Returns a document in which every other adapter has `versions` versions, of which the last is the
+/// default.
 pub fn document(versions: usize) -> String {
     let adapters: Vec<_> = (0..ADAPTERS)
         .map(|adapter| {
@@ -138,7 +141,8 @@
     .to_string()
 }
 
-/// Two regions with nodes, engines of both kinds and a plain service, and a document in force.
+/// Returns a simulated system of two regions with nodes, engines that check fencing numbers, engines
+/// that ignore them, a plain service and an active document.
 pub fn world(seed: u64) -> World {
     let mut world = World::new(seed);
     for region in REGIONS {
@@ -234,7 +238,7 @@
     }
 }
 
-/// Returns the first breach of a history, looked for after every event of it.
+/// Runs a history and returns its first breach, checked after every step and after recovery.
 pub fn first_breach(
     seed: u64,
     steps: &[Step],
@@ -254,13 +258,13 @@
     first(&world)
 }
 
-/// How long after the last fault everything has to be in order again.
+/// The time after the last fault within which the system must have recovered.
 pub const QUIET: Duration = Duration::from_secs(20);
 
-/// Returns the number of histories, `usual` unless the environment asks for another.
+/// Returns the number of histories to run: `ORIOLEROUTE_HISTORIES` if set, otherwise `usual`.
 pub fn histories(usual: u32) -> u32 {
-    let asked = std::env::var("ORIOLEROUTE_HISTORIES").ok();
-    asked.and_then(|text| text.parse().ok()).unwrap_or(usual)
+    let requested = std::env::var("ORIOLEROUTE_HISTORIES").ok();
+    requested.and_then(|text| text.parse().ok()).unwrap_or(usual)
 }
 
 pub fn proving(histories: u32) -> ProptestConfig {
--- a/crates/orioleroute/tests/lease.rs
+++ b/crates/orioleroute/tests/lease.rs
@@ -1,4 +1,5 @@
-//! Takeovers and outages of the table: who may order, and how soon requests are answered again.
+//! Takeovers and table outages: which instance may issue orders, and how soon requests are answered
+//! again.
 
 mod common;
 
@@ -13,7 +14,7 @@
 const THREE_REGIONS: Shape =
     Shape { regions: &["zurich", "geneva", "lugano"], slots: 12, ..ONE_REGION };
 
-/// Returns the node that is home to an adapter in the region of the first node.
+/// Returns the node that is the home of an adapter in the first region.
 fn home(world: &World, adapter: usize) -> usize {
     let target = Target::Model(format!("adapter-{adapter}").into());
     let core = world.nodes.iter().find_map(|node| node.core.as_ref()).expect("a live node");
@@ -21,7 +22,7 @@
     world.nodes.iter().position(|node| node.identity.name == name).expect("a known node")
 }
 
-/// Kills the home of an adapter and returns how long it goes unanswered at another node.
+/// Kills the home of an adapter and returns the time until another node answers a request for it.
 fn takeover(seed: u64, shape: Shape, loaded: bool) -> Option<Duration> {
     let mut world = world(seed, shape);
     let home = home(&world, 0);
@@ -32,13 +33,13 @@
     world.run(Duration::from_millis(seed * 37 % 1_000));
 
     world.kill(home);
-    let taken = time_to_answer(&mut world, other, 0, Duration::from_secs(60));
+    let elapsed = time_to_answer(&mut world, other, 0, Duration::from_secs(60));
 
     assert_eq!(world.checker.breaches(), [], "seed {seed}");
-    taken
+    elapsed
 }
 
-/// With three engines the successor has one of its own; with one it has to take that over.
+/// With three engines the successor owns an engine already; with one engine it must take it over.
 #[rstest]
 #[case::fenced_and_cold(3, true, false, 8)]
 #[case::fenced_and_loaded(3, true, true, 8)]
@@ -55,11 +56,11 @@
     #[case] bound_s: u64,
 ) {
     let shape = Shape { engines, checks_fencing, ..ONE_REGION };
-    let taken = (0..SEEDS).map(|seed| takeover(seed, shape, loaded));
-    let mut taken: Vec<Duration> = taken.map(|taken| taken.unwrap_or(Duration::MAX)).collect();
-    taken.sort();
+    let elapsed = (0..SEEDS).map(|seed| takeover(seed, shape, loaded));
+    let mut elapsed: Vec<Duration> = elapsed.map(|time| time.unwrap_or(Duration::MAX)).collect();
+    elapsed.sort();
 
-    let (median, worst) = (taken[taken.len() / 2], taken[taken.len() - 1]);
+    let (median, worst) = (elapsed[elapsed.len() / 2], elapsed[elapsed.len() - 1]);
     println!(
         "{engines} engines, fenced {checks_fencing}, loaded {loaded}: median {median:?}, worst {worst:?}"
     );
@@ -71,21 +72,21 @@
     for seed in 0..5 {
         let mut world = world(seed, THREE_REGIONS);
         world.platform.faults.table_down = true;
-        let mut asked = Vec::new();
+        let mut requests = Vec::new();
         for round in 0..60 {
             for node in 0..world.nodes.len() {
                 let adapter = (round / 5 + node) % ADAPTERS;
-                asked.push(world.ask(node, request(adapter, Duration::from_secs(5))));
+                requests.push(world.ask(node, request(adapter, Duration::from_secs(5))));
             }
             world.run(Duration::from_secs(10));
         }
 
-        let missed: Vec<_> = asked
+        let incomplete: Vec<_> = requests
             .iter()
             .filter(|number| !is_whole(&world, **number))
             .map(|number| world.outcome(*number))
             .collect();
-        assert!(missed.is_empty(), "seed {seed}: {missed:?}");
+        assert!(incomplete.is_empty(), "seed {seed}: {incomplete:?}");
         assert_eq!(world.checker.breaches(), [], "seed {seed}");
     }
 }
@@ -96,8 +97,9 @@
         let mut world = world(seed, Shape { slots: 12, ..ONE_REGION });
         let homes: Vec<usize> = (0..ADAPTERS).map(|adapter| home(&world, adapter)).collect();
         let dead = homes[0];
-        let warm: Vec<usize> = (0..ADAPTERS).filter(|adapter| homes[*adapter] != dead).collect();
-        for adapter in &warm {
+        let loaded_elsewhere: Vec<usize> =
+            (0..ADAPTERS).filter(|adapter| homes[*adapter] != dead).collect();
+        for adapter in &loaded_elsewhere {
             time_to_answer(&mut world, homes[*adapter], *adapter, Duration::from_secs(5))
                 .expect("an answer");
         }
@@ -105,20 +107,20 @@
         world.run(Duration::from_secs(60));
         world.kill(dead);
 
-        let mut asked = Vec::new();
+        let mut requests = Vec::new();
         for _ in 0..30 {
-            for adapter in &warm {
+            for adapter in &loaded_elsewhere {
                 let spec = request(*adapter, Duration::from_secs(5));
-                asked.push(world.ask(homes[*adapter], spec));
+                requests.push(world.ask(homes[*adapter], spec));
             }
             world.run(Duration::from_secs(10));
         }
-        let missed = asked.iter().filter(|number| !is_whole(&world, **number)).count();
-        assert_eq!(missed, 0, "seed {seed}: {missed} of {}", asked.len());
+        let incomplete = requests.iter().filter(|number| !is_whole(&world, **number)).count();
+        assert_eq!(incomplete, 0, "seed {seed}: {incomplete} of {}", requests.len());
 
         world.heal();
-        let taken = time_to_answer(&mut world, (dead + 1) % 3, 0, Duration::from_secs(30));
-        assert!(taken.is_some_and(|taken| taken < Duration::from_secs(10)), "{taken:?}");
+        let elapsed = time_to_answer(&mut world, (dead + 1) % 3, 0, Duration::from_secs(30));
+        assert!(elapsed.is_some_and(|time| time < Duration::from_secs(10)), "{elapsed:?}");
         assert_eq!(world.checker.breaches(), [], "seed {seed}");
     }
 }
@@ -151,10 +153,10 @@
         let before: u64 = world.nodes.iter().map(|node| node.counts.orders).sum();
         world.start(home);
 
-        let taken = time_to_answer(&mut world, home, 0, Duration::from_secs(10));
+        let elapsed = time_to_answer(&mut world, home, 0, Duration::from_secs(10));
 
         let after: u64 = world.nodes.iter().map(|node| node.counts.orders).sum();
-        assert!(taken.is_some_and(|taken| taken < Duration::from_secs(6)), "{seed}: {taken:?}");
+        assert!(elapsed.is_some_and(|time| time < Duration::from_secs(6)), "{seed}: {elapsed:?}");
         assert_eq!(after, before, "seed {seed}");
     }
 }
--- a/crates/orioleroute/tests/membership.rs
+++ b/crates/orioleroute/tests/membership.rs
@@ -1,4 +1,4 @@
-//! What a new owner may do while a former one still acts.
+//! What a new owner of an upstream may do while a previous owner is still active.
 
 mod common;
 
@@ -10,8 +10,8 @@
 use standins::world::World;
 use standins::world::check::Breach;
 
-/// An owner that is cut off from its peers, and later from the table, goes on answering until its
-/// lease lapses; what it sends must not lose its revision meanwhile.
+/// An owner that is cut off from its peers, and later from the table, continues to answer until its
+/// lease expires. The adapters that its requests use must not be evicted in that time.
 #[rstest]
 #[case::engines_that_check_fencing(true)]
 #[case::engines_that_ignore_fencing(false)]
@@ -19,20 +19,20 @@
     for seed in 0..20 {
         let shape = Shape { engines: 1, slots: 1, checks_fencing, ..ONE_REGION };
         let mut world = world(seed, shape);
-        let former = owner(&world, 0);
-        time_to_answer(&mut world, former, 0, Duration::from_secs(5)).expect("an answer");
+        let previous = owner(&world, 0);
+        time_to_answer(&mut world, previous, 0, Duration::from_secs(5)).expect("an answer");
         world.engines[0].run_time = Duration::from_millis(20);
-        for other in (0..3).filter(|other| *other != former) {
-            world.cut(former, other);
+        for other in (0..3).filter(|other| *other != previous) {
+            world.cut(previous, other);
         }
 
         for millis in (0..12_000).step_by(40) {
             if millis == 3_000 {
-                world.severed.insert(former);
+                world.severed.insert(previous);
             }
-            world.ask(former, request(0, Duration::from_secs(1)));
+            world.ask(previous, request(0, Duration::from_secs(1)));
             if millis % 1_000 == 0 {
-                world.ask((former + 1) % 3, request(1, Duration::from_secs(10)));
+                world.ask((previous + 1) % 3, request(1, Duration::from_secs(10)));
             }
             world.run(Duration::from_millis(40));
         }
@@ -41,26 +41,26 @@
     }
 }
 
-/// A member that leaves may answer until it has read that it is out.
+/// A leaving member may answer until it has read the view that removes it.
 #[test]
 fn a_new_owner_evicts_nothing_that_a_leaving_owner_still_uses() {
     for seed in 0..20 {
         let mut world = world(seed, Shape { engines: 1, slots: 1, ..ONE_REGION });
-        let former = owner(&world, 0);
-        time_to_answer(&mut world, former, 0, Duration::from_secs(5)).expect("an answer");
+        let previous = owner(&world, 0);
+        time_to_answer(&mut world, previous, 0, Duration::from_secs(5)).expect("an answer");
         world.engines[0].run_time = Duration::from_millis(20);
-        world.stop(former);
+        world.stop(previous);
 
         for millis in (0..8_000).step_by(40) {
             if millis == 80 + seed * 40 {
-                world.severed.insert(former);
-                for other in (0..3).filter(|other| *other != former) {
-                    world.cut(former, other);
+                world.severed.insert(previous);
+                for other in (0..3).filter(|other| *other != previous) {
+                    world.cut(previous, other);
                 }
             }
-            world.ask(former, request(0, Duration::from_secs(1)));
+            world.ask(previous, request(0, Duration::from_secs(1)));
             if millis % 500 == 0 {
-                world.ask((former + 1) % 3, request(1, Duration::from_secs(10)));
+                world.ask((previous + 1) % 3, request(1, Duration::from_secs(10)));
             }
             world.run(Duration::from_millis(40));
         }
@@ -73,33 +73,33 @@
 fn an_owner_that_leaves_ends_its_streams_and_then_itself_while_others_take_its_upstream_over() {
     for seed in 0..20 {
         let mut world = world(seed, Shape { engines: 1, slots: 1, ..ONE_REGION });
-        let former = owner(&world, 0);
-        time_to_answer(&mut world, former, 0, Duration::from_secs(5)).expect("an answer");
+        let previous = owner(&world, 0);
+        time_to_answer(&mut world, previous, 0, Duration::from_secs(5)).expect("an answer");
         world.engines[0].run_time = Duration::from_secs(8);
-        let mut asked = Vec::new();
+        let mut requests = Vec::new();
         for _ in 0..3 {
-            asked.push(world.ask(former, request(0, Duration::from_secs(20))));
+            requests.push(world.ask(previous, request(0, Duration::from_secs(20))));
         }
         world.run(Duration::from_millis(20));
 
-        world.stop(former);
+        world.stop(previous);
         world.run(Duration::from_secs(2));
-        asked.push(world.ask(former, request(1, Duration::from_secs(30))));
-        asked.push(world.ask((former + 1) % 3, request(1, Duration::from_secs(30))));
+        requests.push(world.ask(previous, request(1, Duration::from_secs(30))));
+        requests.push(world.ask((previous + 1) % 3, request(1, Duration::from_secs(30))));
         world.run(Duration::from_secs(40));
 
-        let missed: Vec<_> = asked
+        let incomplete: Vec<_> = requests
             .iter()
             .filter(|number| !is_whole(&world, **number))
             .map(|number| world.outcome(*number))
             .collect();
-        assert!(missed.is_empty(), "seed {seed}: {missed:?}");
+        assert!(incomplete.is_empty(), "seed {seed}: {incomplete:?}");
         assert_eq!(breaches(&world), [], "seed {seed}");
-        assert!(world.nodes[former].core.is_none(), "seed {seed}");
+        assert!(world.nodes[previous].core.is_none(), "seed {seed}");
     }
 }
 
-/// A member that has not heard of a view goes on evicting for its own requests.
+/// A member that has not received the new view continues to evict adapters for its own requests.
 #[rstest]
 #[case::engines_that_check_fencing(true)]
 #[case::engines_that_ignore_fencing(false)]
@@ -171,13 +171,13 @@
     for engine in &mut world.engines {
         engine.run_time = Duration::from_secs(4);
     }
-    let asked = world.ask(stopped, request(0, Duration::from_secs(20)));
+    let number = world.ask(stopped, request(0, Duration::from_secs(20)));
     world.run(Duration::from_millis(50));
 
     world.platform.faults.table_down = true;
     world.stop(stopped);
     world.run(Duration::from_secs(15));
 
-    assert!(is_whole(&world, asked), "{:?}", world.outcome(asked));
+    assert!(is_whole(&world, number), "{:?}", world.outcome(number));
     assert!(world.nodes[stopped].core.is_none(), "it still runs");
 }
--- a/crates/orioleroute/tests/promises.rs
+++ b/crates/orioleroute/tests/promises.rs
@@ -1,4 +1,4 @@
-//! Random histories of several cores under faults, with every promise checked.
+//! Random histories of several cores under faults, in which every promise is checked.
 
 mod histories;
 
--- a/crates/orioleroute/tests/proofs.rs
+++ b/crates/orioleroute/tests/proofs.rs
@@ -1,4 +1,4 @@
-//! The page of proofs names only tests that exist, and leaves no cell open.
+//! `docs/PROOFS.md` names only tests that exist, and leaves no cell of its table empty.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -9,7 +9,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Returns the rows of the first table under a heading, without its own head.
+/// Returns the rows of the first table under a heading, without the header rows.
 fn table(page: &str, heading: &str) -> Vec<Vec<String>> {
     let section = page.split("\n## ").find(|section| section.starts_with(heading));
     let rows = section.unwrap_or_default().lines().filter(|line| line.starts_with('|')).skip(2);
@@ -17,12 +17,13 @@
         .collect()
 }
 
-/// Returns the tests that the page names, by their marks.
+/// Returns the tests that the page lists, keyed by the labels that it uses for them.
 fn tests(page: &str) -> BTreeMap<String, String> {
     let rows = table(page, "Tests").into_iter();
     rows.map(|row| (row[0].clone(), row[1].trim_matches('`').to_owned())).collect()
 }
 
+/// Returns whether `test`, a path and a function joined by `::`, is a test function in that file.
 fn exists(test: &str) -> bool {
     let Some((file, function)) = test.split_once("::") else { return false };
     let Ok(source) = std::fs::read_to_string(root().join(file)) else { return false };
--- a/crates/orioleroute/tests/regressions.rs
+++ b/crates/orioleroute/tests/regressions.rs
@@ -1,4 +1,4 @@
-//! Single histories: a quiet one, and those that once broke a promise.
+//! Fixed histories: one without faults, and those that once broke a promise.
 
 mod histories;
 
@@ -28,7 +28,8 @@
 #[test]
 fn a_submission_whose_outcome_was_overtaken_is_not_called_refused() {
     let mut world = world(1);
-    // Node 0 accepts without a reply, and cannot see the platform until another version follows.
+    // Node 0 writes the acceptance but gets no reply, and cannot reach the platform until another
+    // version is accepted.
     apply(&mut world, &Step::Submit { node: 0, versions: 2 });
     let staged = |world: &World| world.platform.rows["config/staged"].version == 3;
     assert!(world.run_until(Duration::from_secs(3), staged));
@@ -45,11 +46,11 @@
     world.severed.insert(0);
     world.run(Duration::from_millis(3_000));
     world.command(3, Command::Submit { base: 2, document: document(1).into() });
-    let followed = world.run_until(Duration::from_secs(30), accepted(3));
+    let superseded = world.run_until(Duration::from_secs(30), accepted(3));
     world.heal();
     world.run(Duration::from_secs(10));
 
-    assert!(followed);
+    assert!(superseded);
     assert_eq!(world.checker.breaches(), []);
 }
 
@@ -57,7 +58,7 @@
 fn a_region_cut_off_does_not_answer_by_a_replaced_version() {
     let mut world = world(1);
     apply(&mut world, &Step::Submit { node: 0, versions: 2 });
-    // Nothing else lets a node send a message to every other one at once.
+    // Only the announcement of an acceptance makes a node send a message to all others at once.
     let others = (REGIONS.len() * NODES_PER_REGION - 1) as u64;
     let mut sent = world.nodes[0].counts.messages;
     while world.nodes[0].counts.messages < sent + others {
@@ -65,7 +66,7 @@
         world.run(Duration::from_millis(1));
     }
 
-    // The other region confirms, but neither hears of the acceptance nor reads the head row.
+    // The other region confirms, but neither receives the announcement nor reads the head row.
     for far in NODES_PER_REGION..REGIONS.len() * NODES_PER_REGION {
         world.severed.insert(far);
         for near in 0..NODES_PER_REGION {
