--- a/crates/orioleroute-wire/src/client.rs
+++ b/crates/orioleroute-wire/src/client.rs
@@ -1,4 +1,4 @@
-//! The client side of HTTP/1.1, with connections kept open between calls.
+//! The HTTP/1.1 client, with connections pooled between calls.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -25,13 +25,13 @@
 
 type Codec = ClientCodec<TcpStream>;
 
-/// The longest wait for a connection to be established.
+/// The time limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Idle connections kept open to one peer.
-const IDLE_PER_PEER: usize = 64;
+/// The maximum number of idle connections kept open to one peer.
+const MAX_IDLE_PER_PEER: usize = 64;
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// The status.
@@ -47,13 +47,13 @@
     ///
     /// # Errors
     ///
-    /// Fails at [`Step::Decode`] if the body is not a `T`.
+    /// Fails at [`Step::Decode`] if the body does not deserialize as a `T`.
     pub fn json<T: serde::de::DeserializeOwned>(&self, peer: SocketAddr) -> Result<T, Error> {
         serde_json::from_slice(&self.body).map_err(|error| Error::new(Step::Decode, peer, error))
     }
 }
 
-/// A request to be sent, built up field by field.
+/// A request to send, with builder methods for its parts.
 #[derive(Clone, Debug)]
 pub struct Call {
     method: Method,
@@ -63,12 +63,12 @@
 }
 
 impl Call {
-    /// Returns a request without header fields or body.
+    /// Creates a request without header fields or body.
     pub fn new(method: Method, path: impl Into<String>) -> Self {
         Self { method, path: path.into(), headers: HeaderMap::new(), body: Bytes::new() }
     }
 
-    /// Adds a header field, leaving it out if its value cannot be sent.
+    /// Sets a header field; an invalid value is ignored.
     #[must_use]
     pub fn header(mut self, name: &'static str, value: impl AsRef<str>) -> Self {
         if let Ok(value) = HeaderValue::from_str(value.as_ref()) {
@@ -77,7 +77,7 @@
         self
     }
 
-    /// Sets the body without saying what it is.
+    /// Sets the body without a media type.
     #[must_use]
     pub fn payload(mut self, body: impl Into<Bytes>) -> Self {
         self.body = body.into();
@@ -99,19 +99,19 @@
     }
 }
 
-/// Connections to all peers, reused between calls.
+/// A pool of connections to all peers, reused between calls.
 #[derive(Clone, Default)]
 pub struct Pool {
     idle: Rc<RefCell<HashMap<SocketAddr, Vec<Codec>>>>,
 }
 
 impl Pool {
-    /// Returns an empty pool.
+    /// Creates an empty pool.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Gets `path` from `peer`.
+    /// Sends a GET request for `path` to `peer` and reads the complete response.
     ///
     /// # Errors
     ///
@@ -120,25 +120,25 @@
         self.call(peer, Call::new(Method::GET, path)).await
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete response.
     ///
     /// # Errors
     ///
-    /// Fails with the step at which the exchange broke.
+    /// Fails with the step at which the exchange failed.
     pub async fn call(&self, peer: SocketAddr, call: Call) -> Result<Answer, Error> {
         let mut stream = self.open(peer, call).await?;
-        let mut whole = Vec::new();
+        let mut body = Vec::new();
         while let Some(part) = stream.next().await {
-            whole.extend_from_slice(&part?);
+            body.extend_from_slice(&part?);
         }
-        Ok(Answer { status: stream.status, headers: stream.headers, body: Bytes::from(whole) })
+        Ok(Answer { status: stream.status, headers: stream.headers, body: Bytes::from(body) })
     }
 
-    /// Sends a request and reads the whole answer within `limit`.
+    /// Sends a request and reads the complete response within `limit`.
     ///
     /// # Errors
     ///
-    /// Fails as [`Pool::call`] does, and at [`Step::Head`] when the time is over.
+    /// Fails as [`Pool::call`] does, and at [`Step::Head`] when the limit expires.
     pub async fn call_within(
         &self,
         peer: SocketAddr,
@@ -146,77 +146,77 @@
         limit: Duration,
     ) -> Result<Answer, Error> {
         match monoio::time::timeout(limit, self.call(peer, call)).await {
-            Ok(answer) => answer,
+            Ok(result) => result,
             Err(_) => Err(Error::new(Step::Head, peer, "timed out")),
         }
     }
 
-    /// Sends a request and returns once the head of the answer is there.
+    /// Sends a request and returns once the head of the response has arrived.
     ///
-    /// A kept connection that the peer has closed is noticed before anything is written to it, so
-    /// that a call is never repeated behind its maker's back.
+    /// A pooled connection is checked for closure by the peer before anything is written to it. The
+    /// pool therefore never sends a request a second time without the caller's knowledge.
     ///
     /// # Errors
     ///
-    /// Fails with the step at which the exchange broke.
+    /// Fails with the step at which the exchange failed.
     pub async fn open(&self, peer: SocketAddr, call: Call) -> Result<Incoming, Error> {
-        let mut codec = match self.take(peer).await {
+        let mut codec = match self.take_idle(peer).await {
             Some(codec) => codec,
             None => connect(peer).await?,
         };
-        let request = request_of(peer, call);
+        let request = build_request(peer, call);
         let sent = async {
             codec.send(request).await?;
             Sink::<http::Request<HttpBody>>::flush(&mut codec).await
         };
         sent.await.map_err(|error: HttpError| Error::new(Step::Send, peer, error))?;
-        let answer = match codec.next().await {
-            Some(Ok(answer)) => answer,
+        let response = match codec.next().await {
+            Some(Ok(response)) => response,
             Some(Err(error)) => return Err(Error::new(Step::Head, peer, error)),
             None => return Err(Error::new(Step::Head, peer, "closed without an answer")),
         };
-        let (head, decoder) = answer.into_parts();
-        let reusable = head.headers.get(header::CONNECTION).is_none_or(|value| value != "close");
+        let (head, decoder) = response.into_parts();
+        let is_reusable = head.headers.get(header::CONNECTION).is_none_or(|value| value != "close");
         Ok(Incoming {
             peer,
             status: head.status,
             headers: head.headers,
             decoder,
             codec: Some(codec),
-            pool: reusable.then(|| self.clone()),
+            pool: is_reusable.then(|| self.clone()),
         })
     }
 
-    /// Takes a kept connection that the peer has not closed meanwhile.
-    async fn take(&self, peer: SocketAddr) -> Option<Codec> {
+    /// Takes an idle connection from the pool, dropping those that the peer has closed.
+    async fn take_idle(&self, peer: SocketAddr) -> Option<Codec> {
         loop {
             let mut codec = self.idle.borrow_mut().get_mut(&peer)?.pop()?;
-            if is_quiet(&mut codec).await {
+            if is_idle(&mut codec).await {
                 return Some(codec);
             }
         }
     }
 
-    fn give(&self, peer: SocketAddr, codec: Codec) {
+    fn put_idle(&self, peer: SocketAddr, codec: Codec) {
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.entry(peer).or_default();
-        if kept.len() < IDLE_PER_PEER {
-            kept.push(codec);
+        let connections = idle.entry(peer).or_default();
+        if connections.len() < MAX_IDLE_PER_PEER {
+            connections.push(codec);
         }
     }
 }
 
 type BodyDecoder = PayloadDecoder<FixedBodyDecoder, ChunkedBodyDecoder>;
 
-/// An answer whose body is still arriving.
+/// A response whose body is still arriving.
 ///
-/// Dropping it before the end closes the connection, which tells the peer to stop.
+/// Dropping it before the end of the body closes the connection, so that the peer stops sending.
 pub struct Incoming {
     /// The status.
     pub status: StatusCode,
     /// The header fields.
     pub headers: HeaderMap,
-    /// The address of the other end.
+    /// The address of the peer.
     pub peer: SocketAddr,
     decoder: BodyDecoder,
     codec: Option<Codec>,
@@ -224,11 +224,11 @@
 }
 
 impl Incoming {
-    /// Returns the next part of the body as it arrives, or `None` at its end.
+    /// Waits for the next part of the body and returns it, or `None` at the end of the body.
     ///
     /// # Errors
     ///
-    /// Fails at [`Step::Body`] if the body breaks off.
+    /// Fails at [`Step::Body`] if the connection fails before the end of the body.
     pub async fn next(&mut self) -> Option<Result<Bytes, Error>> {
         let codec = self.codec.as_mut()?;
         let framed = codec.framed_mut();
@@ -257,16 +257,16 @@
         }
     }
 
-    /// Hands the connection back for the next call.
+    /// Returns the connection to the pool, unless the peer closes it after this response.
     fn release(&mut self) {
         if let (Some(codec), Some(pool)) = (self.codec.take(), self.pool.take()) {
-            pool.give(self.peer, codec);
+            pool.put_idle(self.peer, codec);
         }
     }
 }
 
-/// Returns whether nothing, not even an end, has arrived on a kept connection.
-async fn is_quiet(codec: &mut Codec) -> bool {
+/// Returns whether neither data nor the end of the stream has arrived on a pooled connection.
+async fn is_idle(codec: &mut Codec) -> bool {
     let mut peek = std::pin::pin!(codec.framed_mut().peek_data());
     std::future::poll_fn(|context| Poll::Ready(peek.as_mut().poll(context).is_pending())).await
 }
@@ -276,7 +276,7 @@
     stream.map(ClientCodec::new).map_err(|error| Error::new(Step::Connect, peer, error))
 }
 
-fn request_of(peer: SocketAddr, call: Call) -> http::Request<HttpBody> {
+fn build_request(peer: SocketAddr, call: Call) -> http::Request<HttpBody> {
     let mut request = http::Request::new(HttpBody::Ready(Some(call.body)));
     *request.method_mut() = call.method;
     *request.uri_mut() = call.path.parse().unwrap_or_default();
--- a/crates/orioleroute-wire/src/error.rs
+++ b/crates/orioleroute-wire/src/error.rs
@@ -1,19 +1,19 @@
 use std::net::SocketAddr;
 
-/// The step of an exchange at which an error arose.
+/// The step of an exchange at which an error occurred.
 ///
-/// Callers use it to tell an exchange that cannot have reached the peer from one that may have.
+/// It separates requests that cannot have reached the peer from those that may have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// The connection was not established, so no byte can have reached the peer.
     Connect,
     /// The request was being written.
     Send,
-    /// The head of the answer was awaited.
+    /// The client was waiting for the head of the response.
     Head,
-    /// The body was being read.
+    /// The response body was being read.
     Body,
-    /// The message was complete but had no valid meaning.
+    /// The message was complete but could not be encoded or decoded, or was rejected.
     Decode,
 }
 
@@ -21,22 +21,22 @@
 #[derive(Clone, Debug, thiserror::Error)]
 #[error("{step:?} with {peer}: {cause}")]
 pub struct Error {
-    /// The step that failed.
+    /// The step at which the exchange failed.
     pub step: Step,
-    /// The other end of the connection.
+    /// The address of the peer.
     pub peer: SocketAddr,
-    /// What the library or the peer said.
+    /// The error message of the library, or the response status of the peer.
     pub cause: String,
 }
 
 impl Error {
-    /// Returns an error of `step` with `peer`.
+    /// Creates an error for an exchange with `peer` that failed at `step`.
     pub fn new(step: Step, peer: SocketAddr, cause: impl std::fmt::Display) -> Self {
         let cause = cause.to_string();
         Self { step, peer, cause }
     }
 
-    /// Returns whether the peer cannot have seen any part of the request.
+    /// Returns whether it is certain that no part of the request reached the peer.
     pub fn is_unsent(&self) -> bool {
         self.step == Step::Connect
     }
--- a/crates/orioleroute-wire/src/http1/body.rs
+++ b/crates/orioleroute-wire/src/http1/body.rs
@@ -1,32 +1,32 @@
-//! Where a body ends, and its data without the framing.
+//! Message body framing: determines where a body ends and decodes its data.
 
 use bytes::{Buf, Bytes, BytesMut};
 use http::{HeaderMap, Method, StatusCode, header};
 
 use super::Malformed;
 
-/// The longest line of a chunk's size and extensions, or of a trailer field, in bytes.
-const MAX_LINE: usize = 4_096;
+/// The maximum length of a chunk size line with its extensions, or of a trailer field, in bytes.
+const MAX_LINE_BYTES: usize = 4_096;
 
-/// How the end of a body is found.
+/// How the length of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     /// The body has this many bytes.
     Length(u64),
-    /// The body comes in chunks.
+    /// The body is chunked.
     Chunked,
-    /// The body ends with the connection.
+    /// The body ends when the connection is closed.
     UntilClose,
 }
 
 impl Framing {
-    /// Returns the framing of a request.
+    /// Returns the framing of a request with these header fields.
     ///
     /// # Errors
     ///
-    /// Fails if recipients could disagree on where the request ends.
+    /// Fails with [`Malformed::Framing`] if recipients could disagree on where the request ends.
     pub fn of_request(headers: &HeaderMap, is_http11: bool) -> Result<Self, Malformed> {
-        match (is_chunked(headers)?, length(headers)?) {
+        match (is_chunked(headers)?, content_length(headers)?) {
             (true, None) if is_http11 => Ok(Self::Chunked),
             (true, _) => Err(Malformed::Framing),
             (false, length) => Ok(Self::Length(length.unwrap_or(0))),
@@ -37,7 +37,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if recipients could disagree on where the response ends.
+    /// Fails with [`Malformed::Framing`] if recipients could disagree on where the response ends.
     pub fn of_response(
         method: &Method,
         status: StatusCode,
@@ -49,7 +49,7 @@
         if is_empty {
             return Ok(Self::Length(0));
         }
-        match (is_chunked(headers)?, length(headers)?) {
+        match (is_chunked(headers)?, content_length(headers)?) {
             (true, None) => Ok(Self::Chunked),
             (true, Some(_)) => Err(Malformed::Framing),
             (false, Some(length)) => Ok(Self::Length(length)),
@@ -58,7 +58,7 @@
     }
 }
 
-/// Takes the data of one body off a connection's input, piece by piece.
+/// An incremental decoder for one body.
 #[derive(Clone, Debug)]
 pub struct Decoder(State);
 
@@ -74,7 +74,7 @@
 }
 
 impl Decoder {
-    /// Returns a decoder of a body with this framing.
+    /// Creates a decoder for a body with this framing.
     pub fn new(framing: Framing) -> Self {
         Self(match framing {
             Framing::Length(0) => State::Done,
@@ -84,12 +84,12 @@
         })
     }
 
-    /// Returns whether the whole body has been taken.
+    /// Returns whether the whole body has been decoded.
     pub fn is_done(&self) -> bool {
         self.0 == State::Done
     }
 
-    /// Takes note of an orderly end of the connection, and returns whether the body is complete.
+    /// Handles an orderly end of the connection and returns whether the body is complete.
     pub fn end(&mut self) -> bool {
         if self.0 == State::UntilClose {
             self.0 = State::Done;
@@ -97,12 +97,12 @@
         self.is_done()
     }
 
-    /// Takes the next piece of data off the front of `input`, or returns `None` if there is none
-    /// before more input or the end of the body.
+    /// Decodes the next piece of data and removes it from the front of `input`. Returns `None` if more
+    /// input is needed or the body is complete.
     ///
     /// # Errors
     ///
-    /// Fails if the chunks are malformed.
+    /// Fails with [`Malformed::Chunk`] if the chunks are malformed.
     pub fn decode(&mut self, input: &mut BytesMut) -> Result<Option<Bytes>, Malformed> {
         loop {
             match self.0 {
@@ -147,7 +147,7 @@
     }
 }
 
-/// Appends `data` as one chunk; nothing for no data, since an empty chunk would end the body.
+/// Appends `data` as one chunk. Empty data is skipped, since an empty chunk would end the body.
 pub fn write_chunk(output: &mut Vec<u8>, data: &[u8]) {
     if data.is_empty() {
         return;
@@ -157,20 +157,21 @@
     output.extend_from_slice(b"\r\n");
 }
 
-/// The chunk that ends a body without trailers.
+/// The last chunk of a chunked body without trailers.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-fn take(input: &mut BytesMut, at_most: u64) -> Option<Bytes> {
-    let length = input.len().min(usize::try_from(at_most).unwrap_or(usize::MAX));
+fn take(input: &mut BytesMut, limit: u64) -> Option<Bytes> {
+    let length = input.len().min(usize::try_from(limit).unwrap_or(usize::MAX));
     (length > 0).then(|| input.split_to(length).freeze())
 }
 
-/// Takes a line that ends with CR LF; a bare LF is malformed, since others may read on past it.
+/// Removes a line that ends with CR LF from the front of `input` and returns it without the CR LF. A
+/// bare LF is malformed, since other recipients may not treat it as the end of the line.
 fn take_line(input: &mut BytesMut) -> Result<Option<BytesMut>, Malformed> {
     let Some(end) = input.iter().position(|byte| *byte == b'\n') else {
-        return if input.len() > MAX_LINE { Err(Malformed::Chunk) } else { Ok(None) };
+        return if input.len() > MAX_LINE_BYTES { Err(Malformed::Chunk) } else { Ok(None) };
     };
-    if end == 0 || input[end - 1] != b'\r' || end > MAX_LINE {
+    if end == 0 || input[end - 1] != b'\r' || end > MAX_LINE_BYTES {
         return Err(Malformed::Chunk);
     }
     let line = input.split_to(end - 1);
@@ -195,7 +196,7 @@
     }
 }
 
-fn length(headers: &HeaderMap) -> Result<Option<u64>, Malformed> {
+fn content_length(headers: &HeaderMap) -> Result<Option<u64>, Malformed> {
     let mut lengths = headers.get_all(header::CONTENT_LENGTH).iter();
     match (lengths.next(), lengths.next()) {
         (None, _) => Ok(None),
--- a/crates/orioleroute-wire/src/http1/head.rs
+++ b/crates/orioleroute-wire/src/http1/head.rs
@@ -1,4 +1,4 @@
-//! Heads of requests and responses.
+//! Parses and writes the heads of requests and responses.
 
 use bytes::BytesMut;
 use http::{HeaderMap, HeaderName, HeaderValue, Method, StatusCode, header};
@@ -6,7 +6,7 @@
 use super::Malformed;
 use super::body::Framing;
 
-/// Header fields that one message may have.
+/// The maximum number of header fields of one message.
 const MAX_FIELDS: usize = 64;
 
 /// The head of a request.
@@ -18,18 +18,19 @@
     pub target: String,
     /// The header fields.
     pub headers: HeaderMap,
-    /// How the end of the body is found.
+    /// How the length of the body is determined.
     pub framing: Framing,
     /// Whether the client keeps the connection open after the response.
     pub keeps_alive: bool,
 }
 
 impl Request {
-    /// Takes a head off the front of `input`, or returns `None` while it is incomplete.
+    /// Parses a request head and removes it from the front of `input`. Returns `None` while the head
+    /// is incomplete.
     ///
     /// # Errors
     ///
-    /// Fails if the head is malformed, longer than `limit` bytes, or leaves its framing ambiguous.
+    /// Fails if the head is malformed, is longer than `limit` bytes, or has ambiguous framing.
     pub fn parse(input: &mut BytesMut, limit: usize) -> Result<Option<Self>, Malformed> {
         let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut parsed = httparse::Request::new(&mut fields);
@@ -60,7 +61,7 @@
         self.target.split('?').next().unwrap_or_default()
     }
 
-    /// Returns the first value of a parameter of the query.
+    /// Returns the first value of a query parameter, without percent decoding.
     pub fn parameter(&self, name: &str) -> Option<&str> {
         let query = self.target.split_once('?')?.1;
         let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -80,19 +81,20 @@
     pub status: StatusCode,
     /// The header fields.
     pub headers: HeaderMap,
-    /// How the end of the body is found.
+    /// How the length of the body is determined.
     pub framing: Framing,
     /// Whether the server keeps the connection open after the response.
     pub keeps_alive: bool,
 }
 
 impl Response {
-    /// Takes the head of a final response to a `method` request off the front of `input`, or
-    /// returns `None` while it is incomplete. Interim responses are skipped.
+    /// Parses the head of the final response to a `method` request and removes it from the front of
+    /// `input`. Returns `None` while the head is incomplete. Interim (1xx) responses are skipped.
     ///
     /// # Errors
     ///
-    /// Fails if the head is malformed, longer than `limit` bytes, or leaves its framing ambiguous.
+    /// Fails if the head is malformed, is longer than `limit` bytes, or has ambiguous framing, and if
+    /// the server switches protocols.
     pub fn parse(
         input: &mut BytesMut,
         method: &Method,
@@ -135,7 +137,7 @@
     }
 }
 
-/// Appends the first line and the fields of a request, without the empty line that ends a head.
+/// Appends the request line and the header fields, without the empty line that ends the head.
 pub fn write_request(output: &mut Vec<u8>, method: &Method, target: &str, headers: &HeaderMap) {
     output.extend_from_slice(method.as_str().as_bytes());
     output.push(b' ');
@@ -144,7 +146,7 @@
     write_fields(output, headers);
 }
 
-/// Appends the status line and the fields of a response, without the empty line that ends a head.
+/// Appends the status line and the header fields, without the empty line that ends the head.
 pub fn write_response(output: &mut Vec<u8>, status: StatusCode, headers: &HeaderMap) {
     let reason = status.canonical_reason().unwrap_or("Unknown");
     output.extend_from_slice(b"HTTP/1.1 ");
@@ -163,17 +165,17 @@
     output.extend_from_slice(b"\r\n");
 }
 
-/// Removes the fields that concern one connection only (RFC 9110, section 7.6.1), and the framing,
-/// which each connection writes anew.
+/// Removes the hop-by-hop fields (RFC 9110, section 7.6.1) and the framing fields, which are written
+/// anew for each connection.
 pub fn strip_connection_fields(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+    let listed: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named {
+    for name in listed {
         headers.remove(name);
     }
     let fields = [
@@ -194,7 +196,7 @@
     }
 }
 
-/// Returns whether a comma-separated field contains `token`.
+/// Returns whether the comma-separated list in field `name` contains `token`, ignoring case.
 pub fn has_token(headers: &HeaderMap, name: HeaderName, token: &str) -> bool {
     let values = headers.get_all(name);
     let mut texts = values.iter().filter_map(|value| value.to_str().ok());
--- a/crates/orioleroute-wire/src/http1/mod.rs
+++ b/crates/orioleroute-wire/src/http1/mod.rs
@@ -1,9 +1,9 @@
-//! HTTP/1.1 messages as they cross a proxy: heads parsed strictly, bodies passed on as they arrive.
+//! HTTP/1.1 messages for the proxy: heads are parsed strictly, bodies are forwarded as they arrive.
 //!
-//! [`head`] and [`body`] work on buffers without input or output; [`socket`] fills the buffers. The
-//! library's decoder in [`crate::server`] reads whole messages, accepts a length beside chunks and
-//! holds streamed bodies back, so the proxy path does not use it: see `docs/PLATFORM.md`, section
-//! "HTTP".
+//! [`head`] and [`body`] work on buffers and do no I/O; [`socket`] fills the buffers. The proxy does
+//! not use the `monoio-http` decoder of [`crate::server`], because it reads complete messages, accepts
+//! `Content-Length` together with chunked encoding, and buffers streamed bodies: see
+//! `docs/PLATFORM.md`, section "HTTP".
 //!
 //! ```
 //! use bytes::BytesMut;
@@ -19,26 +19,26 @@
 pub mod head;
 pub mod socket;
 
-/// Why bytes are not an HTTP/1.1 message that this crate passes on.
+/// The reason why input is rejected as an HTTP/1.1 message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Malformed {
-    /// The head does not follow the grammar.
+    /// The head violates the HTTP/1.1 grammar.
     #[error("the head does not follow the grammar")]
     Head,
-    /// The head is longer than allowed.
+    /// The head is longer than the limit, in bytes.
     #[error("the head is longer than {0} bytes")]
     HeadTooLarge(usize),
-    /// HTTP/1.1 asks for exactly one host.
+    /// The request does not have exactly one `Host` field, which HTTP/1.1 requires.
     #[error("a request needs exactly one host")]
     Host,
-    /// The target of a request is not a path.
+    /// The request target is not in origin form, a path with an optional query.
     #[error("the target is not a path")]
     Target,
-    /// Both ways of framing at once, two lengths, or an unknown transfer coding: recipients could
-    /// disagree on where the message ends.
+    /// Both `Content-Length` and `Transfer-Encoding`, more than one length or an invalid one, or an
+    /// unsupported transfer coding: recipients could disagree on where the message ends.
     #[error("the framing of the body is ambiguous")]
     Framing,
-    /// A chunked body does not follow the grammar.
+    /// The chunked body violates the HTTP/1.1 grammar.
     #[error("a chunk does not follow the grammar")]
     Chunk,
 }
--- a/crates/orioleroute-wire/src/http1/socket.rs
+++ b/crates/orioleroute-wire/src/http1/socket.rs
@@ -1,4 +1,4 @@
-//! A TCP connection with the input that has not been parsed yet.
+//! A TCP connection with a buffer of unparsed input.
 
 use std::future::poll_fn;
 use std::io::{ErrorKind, Result};
@@ -15,28 +15,28 @@
 
 use crate::connect::connect;
 
-/// Room for one read, in bytes.
+/// The size of the buffer for one read, in bytes.
 const READ_BYTES: usize = 4 << 10;
 
-/// A connected socket.
+/// A connected TCP socket.
 pub struct Socket {
     io: TcpStreamPoll,
-    /// What has arrived and was not taken yet.
+    /// Input that has been received but not parsed yet.
     pub input: BytesMut,
 }
 
 impl Socket {
-    /// Connects to `peer` within `limit`, with probes that notice a silent peer.
+    /// Connects to `peer` within `limit`, with keepalive probes that detect an unresponsive peer.
     ///
     /// # Errors
     ///
-    /// Fails if the peer refuses or does not answer in time.
+    /// Fails if the peer refuses the connection or does not respond in time.
     pub async fn connect(peer: SocketAddr, limit: Duration) -> Result<Self> {
         let stream = connect(peer, limit).await?;
         Self::new(stream)
     }
 
-    /// Wraps a connection that was accepted.
+    /// Wraps an accepted connection and disables Nagle's algorithm on it.
     ///
     /// # Errors
     ///
@@ -50,9 +50,9 @@
         Ok(Self { io: stream.into_poll_io()?, input: BytesMut::new() })
     }
 
-    /// Reads more input, and returns how many bytes came; 0 is the end of the peer's side.
+    /// Reads more input and returns the number of bytes read; 0 if the peer has closed its side.
     ///
-    /// Dropping the future loses nothing.
+    /// The future is cancel safe: dropping it loses no input.
     ///
     /// # Errors
     ///
@@ -78,8 +78,8 @@
         Ok(())
     }
 
-    /// Writes some of `output` or reads some input, whichever is possible first, and returns how
-    /// many bytes were read, or `None` if some were written.
+    /// Writes part of `output` or reads some input, whichever is possible first, and returns the
+    /// number of bytes read, or `None` if bytes were written instead.
     ///
     /// # Errors
     ///
@@ -97,13 +97,13 @@
         .await
     }
 
-    /// Returns whether the peer has neither closed the connection nor sent anything unasked.
+    /// Returns whether there is no unread input and the peer has not closed the connection.
     pub fn is_quiet(&mut self) -> bool {
         let mut context = Context::from_waker(Waker::noop());
         self.input.is_empty() && self.poll_fill(&mut context).is_pending()
     }
 
-    /// Ends this side of the connection.
+    /// Shuts down the write side of the connection.
     ///
     /// # Errors
     ///
--- a/crates/orioleroute-wire/src/lib.rs
+++ b/crates/orioleroute-wire/src/lib.rs
@@ -1,17 +1,18 @@
-//! The HTTP and JSON-RPC edge that the daemon, the command line and the stand-ins share.
+//! The HTTP and JSON-RPC layer shared by the daemon, the command-line tool and the stand-ins.
 //!
-//! Everything runs on one `monoio` thread with its epoll driver. [`server`] decodes requests and
-//! writes answers, [`client`] keeps connections open and relays streamed bodies chunk by chunk,
-//! [`http1`] passes messages on as a proxy does, and [`rpc`] carries typed peer messages as JSON-RPC notifications. Why streamed bodies bypass
-//! the library's encoder is told in `docs/DESIGN.md`, section "HTTP".
+//! Everything runs on one `monoio` thread with the epoll driver. [`server`] decodes requests and
+//! writes responses, [`client`] pools connections and relays streamed bodies chunk by chunk,
+//! [`http1`] parses and forwards messages for the proxy, and [`rpc`] carries typed peer messages as
+//! JSON-RPC notifications. `docs/DESIGN.md`, section "HTTP", explains why streamed bodies bypass the
+//! encoder of `monoio-http`.
 //!
 //! ```no_run
 //! use orioleroute_wire::client;
 //!
 //! # async fn example() -> Result<(), orioleroute_wire::Error> {
 //! let pool = client::Pool::new();
-//! let answer = pool.get("127.0.0.1:8000".parse().unwrap(), "/v1/models").await?;
-//! assert!(answer.status.is_success());
+//! let response = pool.get("127.0.0.1:8000".parse().unwrap(), "/v1/models").await?;
+//! assert!(response.status.is_success());
 //! # Ok(())
 //! # }
 //! ```
@@ -20,7 +21,7 @@
 mod connect;
 mod error;
 pub mod http1;
-mod intake;
+mod limited_reader;
 pub mod rpc;
 pub mod runtime;
 pub mod server;
--- a/crates/orioleroute-wire/src/rpc.rs
+++ b/crates/orioleroute-wire/src/rpc.rs
@@ -1,7 +1,8 @@
 //! Typed peer messages as JSON-RPC 2.0 notifications.
 //!
-//! The codec is `jsonrpsee-types`. A message type is an enum with `method` and `params`, so a
-//! `match` dispatches it; `docs/DESIGN.md` tells why the library's own servers are not used.
+//! The JSON-RPC types come from `jsonrpsee-types`. A message type is an enum that serde tags with
+//! `method` and `params`, so that a `match` dispatches it; `docs/DESIGN.md` explains why the servers of
+//! `jsonrpsee` are not used.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,13 +14,13 @@
 use crate::client::{Call, Pool};
 use crate::{Error, Step};
 
-/// The path on which peers take messages.
+/// The path on which peers receive messages.
 pub const PATH: &str = "/rpc";
 
-/// The header field that names the sender.
+/// The header field with the name of the sending instance.
 pub const SENDER: &str = "x-orioleroute-sender";
 
-/// A message as `{"method": ..., "params": ...}`, the shape of a tagged enum.
+/// A message as `{"method": ..., "params": ...}`, the serialized form of an adjacently tagged enum.
 #[derive(Serialize, Deserialize)]
 struct Tagged {
     method: String,
@@ -27,7 +28,7 @@
     params: serde_json::Value,
 }
 
-/// Encodes `message` as a notification.
+/// Encodes `message` as a JSON-RPC notification.
 ///
 /// # Errors
 ///
@@ -38,22 +39,23 @@
     serde_json::to_vec(&notification)
 }
 
-/// Decodes a notification into a message.
+/// Decodes a message from a JSON-RPC notification.
 ///
 /// # Errors
 ///
-/// Fails if the bytes are no notification or name no known method.
+/// Fails if the bytes are not a notification, or if its method or parameters do not match `M`.
 pub fn decode<M: serde::de::DeserializeOwned>(bytes: &[u8]) -> Result<M, serde_json::Error> {
     let notification: Notification<'_, serde_json::Value> = serde_json::from_slice(bytes)?;
     let tagged = Tagged { method: notification.method.into_owned(), params: notification.params };
     serde_json::from_value(serde_json::to_value(tagged)?)
 }
 
-/// Sends `message` to `peer` and waits until it has been taken.
+/// Sends `message` to `peer` and waits up to `limit` for the peer to accept it.
 ///
 /// # Errors
 ///
-/// Fails with the step at which the exchange broke, or at [`Step::Decode`] if the peer refused it.
+/// Fails with the step at which the exchange failed, or at [`Step::Decode`] if the message cannot be
+/// encoded or the peer rejects it.
 pub async fn notify(
     pool: &Pool,
     peer: SocketAddr,
@@ -67,9 +69,9 @@
         .header("authorization", format!("Bearer {token}"))
         .header(SENDER, sender)
         .body("application/json", body);
-    let answer = pool.call_within(peer, call, limit).await?;
-    if answer.status.is_success() {
+    let response = pool.call_within(peer, call, limit).await?;
+    if response.status.is_success() {
         return Ok(());
     }
-    Err(Error::new(Step::Decode, peer, answer.status))
+    Err(Error::new(Step::Decode, peer, response.status))
 }
--- a/crates/orioleroute-wire/src/server.rs
+++ b/crates/orioleroute-wire/src/server.rs
@@ -1,4 +1,4 @@
-//! The server side of HTTP/1.1.
+//! The HTTP/1.1 server.
 
 use std::cell::Cell;
 use std::io::Write;
@@ -19,28 +19,29 @@
 use monoio_http::h1::payload::Payload;
 use subtle::ConstantTimeEq;
 
-use crate::intake::Intake;
+use crate::limited_reader::LimitedReader;
 use crate::{Error, Step};
 
-/// The bounds that a connection keeps its peer to.
+/// The size and time limits of a connection, and the token that it requires.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// The largest head accepted, in bytes, to within one read.
+    /// The maximum size of a head, in bytes. A head may exceed it by up to one read.
     pub head_bytes: usize,
-    /// The largest body accepted, in bytes.
+    /// The maximum size of a body, in bytes.
     pub body_bytes: usize,
-    /// The longest wait for the first byte of a request on an open connection.
+    /// The time limit for the first byte of a request on an open connection.
     pub idle: Duration,
-    /// The longest time from the first byte of a head to its end.
+    /// The time limit from the first byte of a head to its end.
     pub head_time: Duration,
-    /// The longest wait for a whole body.
+    /// The time limit for reading a complete body.
     pub body_time: Duration,
-    /// The longest wait for the peer to take one part of an answer.
+    /// The time limit for writing one part of a response to the peer.
     pub write_time: Duration,
-    /// The bearer token without which only requests without a body are taken.
+    /// The bearer token that every request requires, if set, except GET requests, which usually have no
+    /// body.
     ///
-    /// It is checked before the body is read, so that a stranger cannot make a process hold large
-    /// bodies in memory.
+    /// It is checked before the body is read, so that an unauthenticated peer cannot make the process
+    /// buffer large bodies.
     pub token: Option<Rc<str>>,
 }
 
@@ -58,14 +59,14 @@
     }
 }
 
-/// A whole request.
+/// A complete request.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// The method.
     pub method: Method,
     /// The path without the query.
     pub path: String,
-    /// The query without its question mark; empty if there is none.
+    /// The query without its question mark, or an empty string.
     pub query: String,
     /// The header fields.
     pub headers: HeaderMap,
@@ -74,12 +75,12 @@
 }
 
 impl Request {
-    /// Returns the text of a header field, if it is there and readable.
+    /// Returns the value of a header field, if it is present and printable ASCII.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// Returns the value of a query parameter, without percent decoding.
+    /// Returns the first value of a query parameter, without percent decoding.
     pub fn parameter(&self, name: &str) -> Option<&str> {
         self.query
             .split('&')
@@ -88,48 +89,48 @@
             .map(|(_, value)| value)
     }
 
-    /// Returns whether the request shows a bearer token.
+    /// Returns whether the request carries `token` as its bearer token.
     pub fn shows(&self, token: &str) -> bool {
-        shows_token(&self.headers, token)
+        has_bearer_token(&self.headers, token)
     }
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct Response {
     /// The status.
     pub status: StatusCode,
-    /// The header fields; the body's length is added when it is written.
+    /// The header fields. `Content-Length` is added when the response is written.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
 }
 
 impl Response {
-    /// Returns an answer with an empty body.
+    /// Creates a response with an empty body.
     pub fn empty(status: StatusCode) -> Self {
         Self { status, headers: HeaderMap::new(), body: Bytes::new() }
     }
 
-    /// Returns an answer of type `application/json`.
+    /// Creates a response of type `application/json`.
     pub fn json(status: StatusCode, value: &impl serde::Serialize) -> Self {
         let body = serde_json::to_vec(value).unwrap_or_default();
         Self::typed(status, "application/json", body)
     }
 
-    /// Returns an answer of the given media type.
+    /// Creates a response of the given media type.
     pub fn typed(status: StatusCode, media: &'static str, body: impl Into<Bytes>) -> Self {
         let mut headers = HeaderMap::new();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static(media));
         Self { status, headers, body: body.into() }
     }
 
-    /// Returns an answer of type `text/plain`.
+    /// Creates a response of type `text/plain`.
     pub fn text(status: StatusCode, text: impl Into<Bytes>) -> Self {
         Self::typed(status, "text/plain; charset=utf-8", text)
     }
 
-    /// Adds a header field, leaving it out if its value cannot be sent.
+    /// Sets a header field; an invalid value is ignored.
     #[must_use]
     pub fn with(mut self, name: &'static str, value: impl AsRef<str>) -> Self {
         if let Ok(value) = HeaderValue::from_str(value.as_ref()) {
@@ -139,10 +140,10 @@
     }
 }
 
-/// Why no request could be read, and what to tell the peer.
+/// The reason why a request or a connection is rejected. Its text is meant for the peer.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum Fault {
-    /// The head or the framing of the body is malformed.
+    /// The head or the framing of the body is malformed, for the given reason.
     #[error("malformed request: {0}")]
     Malformed(String),
     /// The body is larger than the limit, in bytes.
@@ -154,16 +155,16 @@
     /// The request did not arrive in time.
     #[error("the request did not arrive in time")]
     Slow,
-    /// The token is missing or wrong.
+    /// The bearer token is missing or wrong.
     #[error("the token is missing or wrong")]
     Unauthorized,
-    /// Too many connections are open.
+    /// The limit of open connections is reached.
     #[error("too many connections are open")]
     Busy,
 }
 
 impl Fault {
-    /// Returns the status that tells the peer of this fault.
+    /// Returns the response status for this fault.
     pub fn status(&self) -> StatusCode {
         match self {
             Self::Malformed(_) => StatusCode::BAD_REQUEST,
@@ -180,35 +181,36 @@
 pub struct Connection {
     peer: SocketAddr,
     limits: Limits,
-    intake: Intake,
-    reader: RequestDecoder<Intake>,
+    input: LimitedReader,
+    decoder: RequestDecoder<LimitedReader>,
     writer: OwnedWriteHalf<TcpStream>,
     frame: Vec<u8>,
     closing: bool,
 }
 
 impl Connection {
-    /// Returns a connection over `stream` that keeps its peer to `limits`.
+    /// Creates a connection over `stream` that enforces `limits`.
     pub fn new(stream: TcpStream, peer: SocketAddr, limits: Limits) -> Self {
-        // Tokens are single small writes, which Nagle's algorithm would hold back.
+        // Nagle's algorithm would delay streamed model tokens, which are small writes.
         let _ = stream.set_nodelay(true);
         let (read, writer) = stream.into_split();
-        let intake = Intake::new(read);
-        let reader = RequestDecoder::new(intake.clone());
-        Self { peer, limits, intake, reader, writer, frame: Vec::new(), closing: false }
+        let input = LimitedReader::new(read);
+        let decoder = RequestDecoder::new(input.clone());
+        Self { peer, limits, input, decoder, writer, frame: Vec::new(), closing: false }
     }
 
-    /// Returns the address of the other end.
+    /// Returns the address of the peer.
     pub fn peer(&self) -> SocketAddr {
         self.peer
     }
 
-    /// Reads the next whole request, or `None` once the peer has closed the connection or sent
-    /// nothing for too long.
+    /// Reads the next complete request. Returns `None` once the peer has closed the connection or has
+    /// sent nothing within the idle limit.
     ///
     /// # Errors
     ///
-    /// A fault leaves the connection unusable after its answer is written.
+    /// Fails if the request is malformed, exceeds a limit, or lacks the required token. After a fault,
+    /// only its response can be written; the connection cannot be read any more.
     pub async fn next(&mut self) -> Option<Result<Request, Fault>> {
         match self.read_head().await? {
             Ok(request) => Some(self.read_body(request).await),
@@ -218,43 +220,43 @@
 
     async fn read_head(&mut self) -> Option<Result<http::Request<Payload>, Fault>> {
         let limits = &self.limits;
-        self.intake.expect(limits.head_bytes);
-        let late = async {
-            if monoio::time::timeout(limits.idle, self.intake.begun()).await.is_err() {
+        self.input.set_limit(limits.head_bytes);
+        let timeout = async {
+            if monoio::time::timeout(limits.idle, self.input.wait_for_data()).await.is_err() {
                 return None;
             }
             monoio::time::sleep(limits.head_time).await;
             Some(Err(Fault::Slow))
         };
         let next = monoio::select! {
-            next = self.reader.next() => next?,
-            late = late => return late,
+            next = self.decoder.next() => next?,
+            fault = timeout => return fault,
         };
         match next {
             Ok(request) => Some(Ok(request)),
-            Err(_) if self.intake.is_exceeded() => {
+            Err(_) if self.input.is_limit_exceeded() => {
                 Some(Err(Fault::HeadTooLarge(limits.head_bytes)))
             }
-            Err(error) => fault_of(error).map(Err),
+            Err(error) => to_fault(error).map(Err),
         }
     }
 
     async fn read_body(&mut self, request: http::Request<Payload>) -> Result<Request, Fault> {
         let (head, payload) = request.into_parts();
         let limit = self.limits.body_bytes;
-        self.closing = asks_to_close(&head);
+        self.closing = requests_close(&head);
         if let Some(token) = &self.limits.token
             && head.method != Method::GET
-            && !shows_token(&head.headers, token)
+            && !has_bearer_token(&head.headers, token)
         {
             return Err(Fault::Unauthorized);
         }
         if declared_length(&head.headers)? > limit {
             return Err(Fault::TooLarge(limit));
         }
-        self.intake.expect(limit.saturating_mul(2).saturating_add(FRAMING_BYTES));
-        let read = collect(payload, limit);
-        let fill = self.reader.fill_payload();
+        self.input.set_limit(limit.saturating_mul(2).saturating_add(CHUNK_FRAMING_BYTES));
+        let read = read_payload(payload, limit);
+        let fill = self.decoder.fill_payload();
         let both = async {
             let (filled, body) = monoio::join!(fill, read);
             let body = body?;
@@ -263,7 +265,7 @@
         };
         let body = match monoio::time::timeout(self.limits.body_time, both).await {
             Err(_) => return Err(Fault::Slow),
-            Ok(Err(_)) if self.intake.is_exceeded() => return Err(Fault::TooLarge(limit)),
+            Ok(Err(_)) if self.input.is_limit_exceeded() => return Err(Fault::TooLarge(limit)),
             Ok(body) => body?,
         };
         Ok(Request {
@@ -275,11 +277,11 @@
         })
     }
 
-    /// Writes a whole answer.
+    /// Writes a complete response.
     ///
     /// # Errors
     ///
-    /// Fails if the peer is gone.
+    /// Fails at [`Step::Send`] if the connection is lost or the write times out.
     pub async fn respond(&mut self, response: Response) -> Result<(), Error> {
         let mut message = http::Response::new(HttpBody::Ready(Some(response.body)));
         *message.status_mut() = response.status;
@@ -294,15 +296,16 @@
         };
         match monoio::time::timeout(self.limits.write_time, sent).await {
             Ok(sent) => sent.map_err(|error: HttpError| Error::new(Step::Send, self.peer, error)),
-            Err(_) => Err(Error::new(Step::Send, self.peer, "the peer does not read")),
+            Err(_) => Err(Error::new(Step::Send, self.peer, "timed out writing to the peer")),
         }
     }
 
-    /// Writes the head of a streamed answer; [`Connection::chunk`] and [`Connection::finish`] follow.
+    /// Writes the head of a streamed response. [`Connection::chunk`] and [`Connection::finish`] write
+    /// its body.
     ///
     /// # Errors
     ///
-    /// Fails if the peer is gone.
+    /// Fails at [`Step::Send`] if the connection is lost or the write times out.
     pub async fn begin(&mut self, status: StatusCode, headers: &HeaderMap) -> Result<(), Error> {
         let reason = status.canonical_reason().unwrap_or("Unknown");
         let mut head = format!("HTTP/1.1 {} {reason}\r\n", status.as_u16()).into_bytes();
@@ -319,11 +322,12 @@
         self.write(head).await.map(|_| ())
     }
 
-    /// Writes one chunk of a streamed answer at once.
+    /// Writes one chunk of a streamed response without buffering. Empty data is skipped, since an empty
+    /// chunk would end the body.
     ///
     /// # Errors
     ///
-    /// Fails if the peer is gone.
+    /// Fails at [`Step::Send`] if the connection is lost or the write times out.
     pub async fn chunk(&mut self, data: &[u8]) -> Result<(), Error> {
         if data.is_empty() {
             return Ok(());
@@ -338,56 +342,57 @@
         Ok(())
     }
 
-    /// Ends a streamed answer.
+    /// Writes the last chunk of a streamed response.
     ///
     /// # Errors
     ///
-    /// Fails if the peer is gone.
+    /// Fails at [`Step::Send`] if the connection is lost or the write times out.
     pub async fn finish(&mut self) -> Result<(), Error> {
         self.write(b"0\r\n\r\n".to_vec()).await.map(|_| ())
     }
 
-    /// Completes once the peer has closed its side.
+    /// Waits until the peer has closed its side of the connection.
     ///
-    /// What it sends meanwhile is kept for [`Connection::next`].
+    /// Input received in the meantime is kept for [`Connection::next`], up to about the size limit of a
+    /// head. Beyond that, the future never completes.
     pub async fn closed(&mut self) {
-        self.intake.ended(self.limits.head_bytes).await;
+        self.input.wait_for_close(self.limits.head_bytes).await;
     }
 
-    /// Answers what could not be read, and ends the connection so that the answer arrives.
+    /// Writes an error response and closes the connection in a way that lets the response arrive.
     async fn reject(&mut self, response: Response) {
         self.closing = true;
         if self.respond(response).await.is_err() {
             return;
         }
         if self.writer.shutdown().await.is_ok() {
-            self.intake.discard(DISCARD_TIME).await;
+            self.input.discard(DISCARD_TIMEOUT).await;
         }
     }
 
-    /// Writes `bytes` and returns their buffer for the next ones.
+    /// Writes `bytes` and returns the buffer for reuse.
     async fn write(&mut self, bytes: Vec<u8>) -> Result<Vec<u8>, Error> {
         let written = self.writer.write_all(bytes);
         match monoio::time::timeout(self.limits.write_time, written).await {
             Ok((Ok(_), buffer)) => Ok(buffer),
             Ok((Err(error), _)) => Err(Error::new(Step::Send, self.peer, error)),
-            Err(_) => Err(Error::new(Step::Send, self.peer, "the peer does not read")),
+            Err(_) => Err(Error::new(Step::Send, self.peer, "timed out writing to the peer")),
         }
     }
 }
 
 /// Serves every connection of `listener` with `handler` until the future is dropped.
 ///
-/// At most `connections` are open at a time; one more is answered with `busy` and closed. A fault
-/// is answered with what `explain` makes of it, and its connection is closed.
+/// At most `max_connections` are open at a time. A connection beyond that is rejected with
+/// [`Fault::Busy`]. `explain` converts a fault to a response; the connection is closed after it.
 ///
 /// # Errors
 ///
-/// Fails when the listener does.
+/// Fails if accepting a connection fails.
 pub async fn serve<H>(
     listener: TcpListener,
     limits: Limits,
-    connections: usize,
+    max_connections: usize,
     explain: fn(&Fault) -> Response,
     handler: H,
 ) -> std::io::Result<()>
@@ -400,8 +405,8 @@
     loop {
         let (stream, peer) = listener.accept().await?;
         let mut connection = Connection::new(stream, peer, limits.clone());
-        if open.get() >= connections {
-            if rejecting.get() < REJECTIONS {
+        if open.get() >= max_connections {
+            if rejecting.get() < MAX_CONCURRENT_REJECTIONS {
                 rejecting.set(rejecting.get() + 1);
                 let rejecting = rejecting.clone();
                 monoio::spawn(async move {
@@ -414,14 +419,17 @@
         open.set(open.get() + 1);
         let (handler, open) = (handler.clone(), open.clone());
         monoio::spawn(async move {
-            serve_one(&mut connection, explain, &*handler).await;
+            serve_connection(&mut connection, explain, &*handler).await;
             open.set(open.get() - 1);
         });
     }
 }
 
-async fn serve_one<H>(connection: &mut Connection, explain: fn(&Fault) -> Response, handler: &H)
-where
+async fn serve_connection<H>(
+    connection: &mut Connection,
+    explain: fn(&Fault) -> Response,
+    handler: &H,
+) where
     H: AsyncFn(&mut Connection, Request) -> Result<(), Error>,
 {
     while let Some(request) = connection.next().await {
@@ -438,32 +446,34 @@
     }
 }
 
-/// Connections beyond the limit that are told so at a time; more are just closed.
-const REJECTIONS: usize = 256;
+/// The number of connections beyond the limit that receive an error response at the same time; further
+/// ones are closed without a response.
+const MAX_CONCURRENT_REJECTIONS: usize = 256;
 
-/// How long a rejected peer may go on sending before its connection is cut, in which case it may
-/// not see the answer.
-const DISCARD_TIME: Duration = Duration::from_millis(1_000);
+/// How long input of a rejected peer is discarded before its connection is closed. A peer that is still
+/// sending at that time may not receive the response.
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Room for the framing of a chunked body, in bytes, beside as much again as the body.
-const FRAMING_BYTES: usize = 64 << 10;
+/// The fixed part of the allowance for the framing of a chunked body, in bytes. The variable part is as
+/// large as the body size limit.
+const CHUNK_FRAMING_BYTES: usize = 64 << 10;
 
-/// Returns whether the header fields show a bearer token, in a time that does not depend on how
-/// much of it fits.
-fn shows_token(headers: &HeaderMap, token: &str) -> bool {
-    let shown = headers.get(header::AUTHORIZATION).and_then(|value| value.to_str().ok());
-    let shown = shown.and_then(|text| text.strip_prefix("Bearer "));
-    shown.is_some_and(|shown| bool::from(shown.as_bytes().ct_eq(token.as_bytes())))
+/// Returns whether the header fields carry `token` as the bearer token. The time of the comparison does
+/// not depend on how much of the token matches.
+fn has_bearer_token(headers: &HeaderMap, token: &str) -> bool {
+    let presented = headers.get(header::AUTHORIZATION).and_then(|value| value.to_str().ok());
+    let presented = presented.and_then(|text| text.strip_prefix("Bearer "));
+    presented.is_some_and(|presented| bool::from(presented.as_bytes().ct_eq(token.as_bytes())))
 }
 
-/// Returns whether the peer wants the connection closed after the answer.
-fn asks_to_close(head: &http::request::Parts) -> bool {
-    let wish = head.headers.get(header::CONNECTION).and_then(|value| value.to_str().ok());
-    let asks = |word: &str| {
-        let mut words = wish.unwrap_or_default().split(',');
-        words.any(|part| part.trim().eq_ignore_ascii_case(word))
+/// Returns whether the peer requests that the connection be closed after the response.
+fn requests_close(head: &http::request::Parts) -> bool {
+    let connection = head.headers.get(header::CONNECTION).and_then(|value| value.to_str().ok());
+    let has_option = |option: &str| {
+        let mut options = connection.unwrap_or_default().split(',');
+        options.any(|part| part.trim().eq_ignore_ascii_case(option))
     };
-    asks("close") || (head.version == http::Version::HTTP_10 && !asks("keep-alive"))
+    has_option("close") || (head.version == http::Version::HTTP_10 && !has_option("keep-alive"))
 }
 
 fn declared_length(headers: &HeaderMap) -> Result<usize, Fault> {
@@ -472,20 +482,20 @@
     length.ok_or_else(|| Fault::Malformed("the content length is not a number".to_owned()))
 }
 
-async fn collect(mut payload: Payload, limit: usize) -> Result<Bytes, Fault> {
-    let mut whole = Vec::new();
+async fn read_payload(mut payload: Payload, limit: usize) -> Result<Bytes, Fault> {
+    let mut body = Vec::new();
     while let Some(part) = payload.next_data().await {
         let part = part.map_err(|error| Fault::Malformed(error.to_string()))?;
-        if whole.len() + part.len() > limit {
+        if body.len() + part.len() > limit {
             return Err(Fault::TooLarge(limit));
         }
-        whole.extend_from_slice(&part);
+        body.extend_from_slice(&part);
     }
-    Ok(Bytes::from(whole))
+    Ok(Bytes::from(body))
 }
 
-/// Returns what to tell the peer, or `None` if it is gone.
-fn fault_of(error: HttpError) -> Option<Fault> {
+/// Converts a decoder error to a fault, or to `None` if the connection is lost.
+fn to_fault(error: HttpError) -> Option<Fault> {
     match error {
         HttpError::H1DecodeError(DecodeError::Io(_) | DecodeError::UnexpectedEof) => None,
         HttpError::IOError(_) => None,
--- a/crates/orioleroute-wire/tests/http1.rs
+++ b/crates/orioleroute-wire/tests/http1.rs
@@ -1,5 +1,5 @@
-//! Heads and bodies as a proxy reads them: what is taken, what is refused, and that the way in which
-//! bytes arrive makes no difference.
+//! Tests of parsing heads and bodies: which messages are accepted or rejected, and that the result does
+//! not depend on how the input is split into reads.
 
 use bytes::{Bytes, BytesMut};
 use http::{HeaderMap, Method, StatusCode};
@@ -9,17 +9,19 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-const LIMIT: usize = 4_096;
+/// The maximum size of a head, in bytes.
+const HEAD_LIMIT: usize = 4_096;
 
 fn request(text: &str) -> Result<Option<Request>, Malformed> {
-    Request::parse(&mut BytesMut::from(text), LIMIT)
+    Request::parse(&mut BytesMut::from(text), HEAD_LIMIT)
 }
 
 fn response(text: &str) -> Result<Option<Response>, Malformed> {
-    Response::parse(&mut BytesMut::from(text), &Method::GET, LIMIT)
+    Response::parse(&mut BytesMut::from(text), &Method::GET, HEAD_LIMIT)
 }
 
-/// Decodes a body that arrives in pieces, and returns its data and what follows it.
+/// Decodes a body that arrives in `pieces`. Returns its data, the remaining input, and whether the
+/// body is complete.
 fn decode(framing: Framing, pieces: &[&[u8]]) -> Result<(Vec<u8>, Vec<u8>, bool), Malformed> {
     let mut decoder = Decoder::new(framing);
     let mut input = BytesMut::new();
@@ -50,10 +52,7 @@
 #[case::second_host("Host: b\r\n", Malformed::Host)]
 #[case::space_before_colon("Content-Length : 3\r\n", Malformed::Head)]
 #[case::folded_field("X-A: b\r\n c\r\n", Malformed::Head)]
-fn requests_that_others_may_read_differently_are_refused(
-    #[case] fields: &str,
-    #[case] expected: Malformed,
-) {
+fn ambiguous_requests_are_rejected(#[case] fields: &str, #[case] expected: Malformed) {
     let parsed = request(&format!("POST / HTTP/1.1\r\nHost: a\r\n{fields}\r\n"));
 
     assert_eq!(parsed.err(), Some(expected));
@@ -66,19 +65,22 @@
     "POST / HTTP/1.0\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n",
     Malformed::Framing
 )]
-fn requests_without_what_they_need_are_refused(#[case] text: &str, #[case] expected: Malformed) {
+fn requests_without_host_path_or_valid_framing_are_rejected(
+    #[case] text: &str,
+    #[case] expected: Malformed,
+) {
     let parsed = request(text);
 
     assert_eq!(parsed.err(), Some(expected));
 }
 
 #[test]
-fn a_head_beyond_the_limit_is_refused_before_it_is_complete() {
-    let text = format!("GET / HTTP/1.1\r\nHost: a\r\nX-A: {}", "b".repeat(LIMIT));
+fn a_head_beyond_the_limit_is_rejected_before_it_is_complete() {
+    let text = format!("GET / HTTP/1.1\r\nHost: a\r\nX-A: {}", "b".repeat(HEAD_LIMIT));
 
     let parsed = request(&text);
 
-    assert_eq!(parsed.err(), Some(Malformed::HeadTooLarge(LIMIT)));
+    assert_eq!(parsed.err(), Some(Malformed::HeadTooLarge(HEAD_LIMIT)));
 }
 
 #[test]
@@ -90,14 +92,14 @@
 }
 
 #[rstest]
-#[case::proper(b"3;name=value\r\nabc\r\n0\r\n\r\nrest", Ok((b"abc".to_vec(), b"rest".to_vec(), true)))]
+#[case::valid(b"3;name=value\r\nabc\r\n0\r\n\r\nrest", Ok((b"abc".to_vec(), b"rest".to_vec(), true)))]
 #[case::trailers(b"1\r\na\r\n0\r\nX-A: b\r\n\r\n", Ok((b"a".to_vec(), vec![], true)))]
-#[case::unfinished(b"3\r\nab", Ok((b"ab".to_vec(), vec![], false)))]
+#[case::incomplete(b"3\r\nab", Ok((b"ab".to_vec(), vec![], false)))]
 #[case::bare_line_feed(b"3\nabc\r\n0\r\n\r\n", Err(Malformed::Chunk))]
-#[case::longer_than_said(b"3\r\nabcd\r\n0\r\n\r\n", Err(Malformed::Chunk))]
+#[case::longer_than_declared(b"3\r\nabcd\r\n0\r\n\r\n", Err(Malformed::Chunk))]
 #[case::signed_size(b"+3\r\nabc\r\n0\r\n\r\n", Err(Malformed::Chunk))]
 #[case::no_size(b"\r\nabc\r\n", Err(Malformed::Chunk))]
-#[case::size_beyond_numbers(b"ffffffffffffffffff\r\n", Err(Malformed::Chunk))]
+#[case::size_overflow(b"ffffffffffffffffff\r\n", Err(Malformed::Chunk))]
 fn chunks_follow_the_grammar(
     #[case] input: &[u8],
     #[case] expected: Result<(Vec<u8>, Vec<u8>, bool), Malformed>,
@@ -147,13 +149,13 @@
 #[rstest]
 #[case::no_protocol("hello\r\n\r\n")]
 #[case::both_framings("HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n")]
-#[case::switched("HTTP/1.1 101 Switching Protocols\r\n\r\n")]
-fn what_is_no_answer_is_refused(#[case] text: &str) {
+#[case::switching_protocols("HTTP/1.1 101 Switching Protocols\r\n\r\n")]
+fn invalid_responses_are_rejected(#[case] text: &str) {
     assert!(response(text).is_err());
 }
 
 #[test]
-fn fields_of_one_connection_are_not_passed_on() {
+fn hop_by_hop_fields_are_not_forwarded() {
     let mut headers = HeaderMap::new();
     for (name, value) in [
         ("connection", "x-hop, close"),
@@ -169,7 +171,7 @@
     assert_eq!(headers.keys().map(|name| name.as_str()).collect::<Vec<_>>(), ["x-end"]);
 }
 
-/// Splits `bytes` at the given points.
+/// Splits `bytes` at the given points, in order of position.
 fn split<'a>(bytes: &'a [u8], points: &[prop::sample::Index]) -> Vec<&'a [u8]> {
     let mut ends: Vec<usize> = points.iter().map(|point| point.index(bytes.len() + 1)).collect();
     ends.push(bytes.len());
@@ -180,7 +182,7 @@
 
 proptest! {
     #[test]
-    fn chunks_decode_alike_however_they_arrive(
+    fn decoding_chunks_does_not_depend_on_splits(
         chunks in prop::collection::vec(prop::collection::vec(any::<u8>(), 1..200), 0..6),
         points in prop::collection::vec(any::<prop::sample::Index>(), 0..12),
     ) {
@@ -195,7 +197,7 @@
     }
 
     #[test]
-    fn damaged_chunks_end_alike_however_they_arrive(
+    fn decoding_arbitrary_input_does_not_depend_on_splits(
         bytes in prop::collection::vec(prop::sample::select(b"0123af;\r\n xyz".to_vec()), 0..60),
         points in prop::collection::vec(any::<prop::sample::Index>(), 0..12),
     ) {
@@ -210,7 +212,7 @@
 
     #[test]
     fn heads_of_any_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        let _ = Request::parse(&mut BytesMut::from(&bytes[..]), LIMIT);
-        let _ = Response::parse(&mut BytesMut::from(&bytes[..]), &Method::GET, LIMIT);
+        let _ = Request::parse(&mut BytesMut::from(&bytes[..]), HEAD_LIMIT);
+        let _ = Response::parse(&mut BytesMut::from(&bytes[..]), &Method::GET, HEAD_LIMIT);
     }
 }
