--- a/crates/oriolectl/src/command.rs
+++ b/crates/oriolectl/src/command.rs
@@ -1,55 +1,55 @@
-//! The command line.
+//! Parses the command line.
 
 use std::net::SocketAddr;
 
 use getopts::Options;
 
-/// What to do.
-pub enum Verb {
+/// The command to run, with its arguments.
+pub enum Subcommand {
     /// Checks a document without an instance.
     Check(String),
     /// Prints the schema of the document.
     Schema,
     /// Submits a document.
     Submit(String),
-    /// Shows what holds where.
+    /// Shows the instances, and the upstreams with the revisions loaded on them.
     Status,
     /// Shows what a document would change.
     Diff(String),
-    /// Shows why an adapter is where it is.
+    /// Shows where an adapter is placed and why.
     Explain(String),
-    /// Lets an instance leave.
+    /// Lets an instance leave the membership.
     Drain,
-    /// Tells the story of a request from the logs of instances.
+    /// Shows the log lines of a request and those that may explain its outcome.
     Trace {
         /// The request's id.
         request: String,
-        /// Where the logs are.
+        /// The log files of the instances; `-` is standard input.
         files: Vec<String>,
     },
 }
 
-/// A whole command.
+/// A parsed command line.
 pub struct Command {
-    /// What to do.
-    pub verb: Verb,
-    /// The instance to ask.
+    /// The command to run.
+    pub subcommand: Subcommand,
+    /// The operator address of the instance to send the command to.
     pub instance: Option<SocketAddr>,
     /// The operator's token.
     pub token: String,
-    /// The version that a submission replaces; the one in force if not given.
+    /// The version that a submission replaces; the active one if not given.
     pub base: Option<u64>,
-    /// Whether to show the status again and again.
+    /// Whether to refresh the status until the process is ended.
     pub watch: bool,
     /// Whether to print JSON.
     pub json: bool,
 }
 
 /// Why no command is run.
-pub enum Stop {
-    /// A text was asked for.
-    Help(String),
-    /// The command line is wrong.
+pub enum EarlyExit {
+    /// The help or the version was asked for.
+    Print(String),
+    /// The command line is invalid.
     Usage(String),
 }
 
@@ -60,12 +60,12 @@
     schema          print the schema of the document, without an instance
     submit FILE     submit a document and wait until it is accepted
     diff FILE       show what a document would change
-    status          show what holds where
-    explain NAME    show why an adapter is where it is
-    drain           let the asked instance leave
+    status          show the instances, the upstreams and what is loaded
+    explain NAME    show where an adapter is placed and why
+    drain           let the instance leave
     trace ID FILE...
-                    tell the story of a request from the logs of instances;
-                    - is standard input
+                    show the lines of a request and related ones from the
+                    logs of instances; - is standard input
 
 Exit codes: 0 done, 1 failed, 2 wrong usage, 3 the document has faults,
 4 another document was accepted first, 5 pending.
@@ -73,28 +73,35 @@
 --instance and --token can be given as ORIOLEROUTE_INSTANCE and
 ORIOLEROUTE_OPERATOR_TOKEN.";
 
-/// Reads the command line.
-pub fn parse(arguments: impl Iterator<Item = String>) -> Result<Command, Stop> {
+/// Parses the command line.
+///
+/// # Errors
+///
+/// Fails with the text to print if the command line is invalid or asks for the help or the version.
+pub fn parse(arguments: impl Iterator<Item = String>) -> Result<Command, EarlyExit> {
     let mut options = Options::new();
     options.optopt("i", "instance", "operator address of an instance", "IP:PORT");
     options.optopt("t", "token", "operator token", "TEXT");
     options.optopt("b", "base", "version that the submission replaces", "VERSION");
-    options.optflag("w", "watch", "show the status again and again");
+    options.optflag("w", "watch", "refresh the status every second");
     options.optflag("j", "json", "print JSON");
     options.optflag("h", "help", "print this help");
     options.optflag("V", "version", "print the version");
-    let matches = options.parse(arguments).map_err(|error| Stop::Usage(error.to_string()))?;
+    let matches = options.parse(arguments).map_err(|error| EarlyExit::Usage(error.to_string()))?;
     if matches.opt_present("help") {
-        return Err(Stop::Help(options.usage(BRIEF)));
+        return Err(EarlyExit::Print(options.usage(BRIEF)));
     }
     if matches.opt_present("version") {
-        return Err(Stop::Help(format!("oriolectl {}", env!("CARGO_PKG_VERSION"))));
+        return Err(EarlyExit::Print(format!("oriolectl {}", env!("CARGO_PKG_VERSION"))));
     }
-    let verb = verb(&matches.free)?;
+    let subcommand = subcommand(&matches.free)?;
     let instance = matches
         .opt_str("instance")
         .or_else(|| std::env::var("ORIOLEROUTE_INSTANCE").ok())
-        .map(|text| text.parse().map_err(|_| Stop::Usage(format!("--instance is {text:?}"))))
+        .map(|text| {
+            text.parse()
+                .map_err(|_| EarlyExit::Usage(format!("--instance is {text:?}, expected IP:PORT")))
+        })
         .transpose()?;
     let token = matches
         .opt_str("token")
@@ -102,10 +109,14 @@
         .unwrap_or_default();
     let base = matches
         .opt_str("base")
-        .map(|text| text.parse().map_err(|_| Stop::Usage(format!("--base is {text:?}"))))
+        .map(|text| {
+            text.parse().map_err(|_| {
+                EarlyExit::Usage(format!("--base is {text:?}, expected a version number"))
+            })
+        })
         .transpose()?;
     Ok(Command {
-        verb,
+        subcommand,
         instance,
         token,
         base,
@@ -114,21 +125,24 @@
     })
 }
 
-fn verb(words: &[String]) -> Result<Verb, Stop> {
+fn subcommand(words: &[String]) -> Result<Subcommand, EarlyExit> {
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     match words[..] {
-        ["check", file] => Ok(Verb::Check(file.to_owned())),
-        ["schema"] => Ok(Verb::Schema),
-        ["submit", file] => Ok(Verb::Submit(file.to_owned())),
-        ["diff", file] => Ok(Verb::Diff(file.to_owned())),
-        ["status"] => Ok(Verb::Status),
-        ["explain", name] => Ok(Verb::Explain(name.to_owned())),
-        ["drain"] => Ok(Verb::Drain),
+        ["check", file] => Ok(Subcommand::Check(file.to_owned())),
+        ["schema"] => Ok(Subcommand::Schema),
+        ["submit", file] => Ok(Subcommand::Submit(file.to_owned())),
+        ["diff", file] => Ok(Subcommand::Diff(file.to_owned())),
+        ["status"] => Ok(Subcommand::Status),
+        ["explain", name] => Ok(Subcommand::Explain(name.to_owned())),
+        ["drain"] => Ok(Subcommand::Drain),
         ["trace", request, _, ..] => {
             let files = words[2..].iter().map(|file| (*file).to_owned()).collect();
-            Ok(Verb::Trace { request: request.to_owned(), files })
+            Ok(Subcommand::Trace { request: request.to_owned(), files })
         }
-        [] => Err(Stop::Usage("a command is missing; --help lists them".into())),
-        _ => Err(Stop::Usage(format!("no such command: {}; --help lists them", words.join(" ")))),
+        [] => Err(EarlyExit::Usage("no command given; --help lists the commands".into())),
+        _ => Err(EarlyExit::Usage(format!(
+            "unknown command or wrong arguments: {}; --help lists the commands",
+            words.join(" ")
+        ))),
     }
 }
--- a/crates/oriolectl/src/main.rs
+++ b/crates/oriolectl/src/main.rs
@@ -1,7 +1,7 @@
-//! The operator's command line of orioleroute.
+//! The command line tool for operators of orioleroute.
 //!
-//! It asks one instance, or reads log files, and never writes to the platform's table itself. `docs/OPERATIONS.md`
-//! shows it at work.
+//! It sends commands to instances or reads files, and never writes to the platform's table itself.
+//! `docs/OPERATIONS.md` shows examples.
 
 mod ask;
 mod command;
@@ -13,11 +13,11 @@
 fn main() -> ExitCode {
     let command = match command::parse(std::env::args().skip(1)) {
         Ok(command) => command,
-        Err(command::Stop::Help(text)) => {
+        Err(command::EarlyExit::Print(text)) => {
             println!("{text}");
             return ExitCode::SUCCESS;
         }
-        Err(command::Stop::Usage(message)) => {
+        Err(command::EarlyExit::Usage(message)) => {
             eprintln!("oriolectl: {message}");
             return ExitCode::from(print::USAGE);
         }
--- a/crates/oriolectl/src/print.rs
+++ b/crates/oriolectl/src/print.rs
@@ -1,4 +1,4 @@
-//! Answers as tables or JSON, and as exit codes.
+//! Prints answers as tables or JSON and maps them to exit codes.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 /// The command failed.
 pub const FAILED: u8 = 1;
 
-/// The command line is wrong.
+/// The command line is invalid.
 pub const USAGE: u8 = 2;
 
 /// The document has faults.
@@ -17,7 +17,7 @@
 /// Another document was accepted first.
 const CONFLICT: u8 = 4;
 
-/// Not accepted yet.
+/// The document is not accepted yet.
 const PENDING: u8 = 5;
 
 /// Prints the outcome of a check and returns the exit code.
@@ -102,7 +102,7 @@
 
 /// Prints a value as JSON.
 pub fn json(value: &impl serde::Serialize) {
-    println!("{}", text(value));
+    println!("{}", to_json(value));
 }
 
 /// Prints what a document would change.
@@ -121,25 +121,25 @@
     }
 }
 
-/// Returns one line for each named part of a document.
+/// Returns the JSON of each part of a document by its kind and name.
 fn lines(document: &Document) -> BTreeMap<String, String> {
     let mut lines = BTreeMap::new();
     for model in &document.models {
-        lines.insert(format!("model {}", model.name), text(model));
+        lines.insert(format!("model {}", model.name), to_json(model));
     }
     for pool in &document.pools {
-        lines.insert(format!("pool {}", pool.name), text(pool));
+        lines.insert(format!("pool {}", pool.name), to_json(pool));
     }
     for adapter in &document.adapters {
-        lines.insert(format!("adapter {}", adapter.name), text(adapter));
+        lines.insert(format!("adapter {}", adapter.name), to_json(adapter));
     }
     for service in &document.services {
-        lines.insert(format!("service {}", service.name), text(service));
+        lines.insert(format!("service {}", service.name), to_json(service));
     }
-    lines.insert("policy".into(), text(&document.policy));
+    lines.insert("policy".into(), to_json(&document.policy));
     lines
 }
 
-fn text(value: &impl serde::Serialize) -> String {
+fn to_json(value: &impl serde::Serialize) -> String {
     serde_json::to_string(value).unwrap_or_default()
 }
--- a/crates/oriolectl/src/trace.rs
+++ b/crates/oriolectl/src/trace.rs
@@ -1,4 +1,5 @@
-//! The story of one request, from the log files of all instances.
+//! Shows the log lines of one request and those that may explain its outcome, from the logs of all
+//! instances.
 
 use std::collections::BTreeSet;
 use std::fs::File;
@@ -8,18 +9,18 @@
 
 use crate::print;
 
-/// How much of the log before a request's first line may tell why it failed, in milliseconds.
+/// How long before a request's first line other lines may explain its outcome, in milliseconds.
 ///
-/// A lost dependency is noticed within seconds; see `docs/OPERATIONS.md`.
-const BEFORE_MS: i64 = 5_000;
+/// The loss of a dependency is detected within seconds; see `docs/OPERATIONS.md`.
+const LOOKBACK_MS: i64 = 5_000;
 
-/// The name that stands for standard input.
+/// The file name that means standard input.
 const STDIN: &str = "-";
 
-/// Fields that every line has or that the story tells in another way.
-const COMMON: [&str; 6] = ["msg", "level", "ts", "instance", "region", "request"];
+/// Fields that every line has or that the text output shows in another form.
+const OMITTED_FIELDS: [&str; 6] = ["msg", "level", "ts", "instance", "region", "request"];
 
-/// Prints what the logs tell of a request and returns the exit code.
+/// Prints the log lines that concern a request and returns the exit code.
 pub fn run(request: &str, files: &[String], json: bool) -> u8 {
     let mut log = Log::default();
     for file in files {
@@ -28,15 +29,15 @@
             return print::FAILED;
         }
     }
-    let story = log.story(request);
+    let timeline = log.timeline(request);
     if log.unreadable > 0 {
-        eprintln!("oriolectl: {} lines were no JSON objects with a time", log.unreadable);
+        eprintln!("oriolectl: {} lines are not JSON objects with a timestamp", log.unreadable);
     }
-    if story.is_empty() {
-        eprintln!("oriolectl: no line tells of request {request}");
+    if timeline.is_empty() {
+        eprintln!("oriolectl: no log line mentions request {request}");
         return print::FAILED;
     }
-    for line in story {
+    for line in timeline {
         match json {
             true => println!("{}", Value::Object(line.fields.clone())),
             false => println!("{}", line.to_text(request)),
@@ -45,7 +46,7 @@
     0
 }
 
-/// The lines of several logs that can be part of a story.
+/// The readable lines of one or more logs.
 #[derive(Default)]
 struct Log {
     lines: Vec<Line>,
@@ -53,8 +54,8 @@
 }
 
 impl Log {
-    fn take(&mut self, text: &str) {
-        // Whatever collects the logs may put a prefix before each line.
+    fn add_line(&mut self, text: &str) {
+        // A log collector may put a prefix before each line.
         let Some(start) = text.find('{') else {
             self.unreadable += usize::from(!text.trim().is_empty());
             return;
@@ -65,9 +66,9 @@
         }
     }
 
-    /// Returns the lines of a request and those that may explain it, in order of time.
-    fn story(&self, request: &str) -> Vec<&Line> {
-        let own: Vec<&Line> = self.lines.iter().filter(|line| line.is_of(request)).collect();
+    /// Returns the lines of a request and those that may explain its outcome, in order of time.
+    fn timeline(&self, request: &str) -> Vec<&Line> {
+        let own: Vec<&Line> = self.lines.iter().filter(|line| line.is_about(request)).collect();
         let (Some(first), Some(last)) =
             (own.iter().map(|line| line.at_ms).min(), own.iter().map(|line| line.at_ms).max())
         else {
@@ -78,19 +79,23 @@
         let upstreams: BTreeSet<&str> =
             own.iter().filter_map(|line| line.text("upstream")).collect();
         let explains = |line: &Line| {
-            let is_near = (first - BEFORE_MS..=last).contains(&line.at_ms);
-            let is_there = line.text("instance").is_some_and(|name| instances.contains(name));
-            let is_upstream = line.text("upstream").is_some_and(|name| upstreams.contains(name));
-            is_near && line.is_of_nobody() && (is_upstream || is_there && line.is_notable())
+            let is_near = (first - LOOKBACK_MS..=last).contains(&line.at_ms);
+            let is_same_instance =
+                line.text("instance").is_some_and(|name| instances.contains(name));
+            let is_same_upstream =
+                line.text("upstream").is_some_and(|name| upstreams.contains(name));
+            is_near
+                && line.names_no_request()
+                && (is_same_upstream || is_same_instance && line.is_notable())
         };
-        let mut story: Vec<&Line> =
-            self.lines.iter().filter(|line| line.is_of(request) || explains(line)).collect();
-        story.sort_by_key(|line| line.at_ms);
-        story
+        let mut timeline: Vec<&Line> =
+            self.lines.iter().filter(|line| line.is_about(request) || explains(line)).collect();
+        timeline.sort_by_key(|line| line.at_ms);
+        timeline
     }
 }
 
-/// A line of a log.
+/// A log line.
 struct Line {
     at_ms: i64,
     fields: Map<String, Value>,
@@ -106,15 +111,15 @@
         self.fields.get(field)?.as_str()
     }
 
-    fn is_of(&self, request: &str) -> bool {
+    fn is_about(&self, request: &str) -> bool {
         self.text("request") == Some(request)
     }
 
-    fn is_of_nobody(&self) -> bool {
+    fn names_no_request(&self) -> bool {
         self.text("request").is_none()
     }
 
-    /// Returns whether a line tells of trouble or of a change that concerns all requests.
+    /// Returns whether a line is a warning or an error, or reports a change that affects all requests.
     fn is_notable(&self) -> bool {
         const CHANGES: [&str; 8] = [
             "configuration in force",
@@ -131,13 +136,13 @@
     }
 
     fn to_text(&self, request: &str) -> String {
-        let mark = if self.is_of(request) { '*' } else { ' ' };
+        let mark = if self.is_about(request) { '*' } else { ' ' };
         let time = self.text("ts").unwrap_or_default();
         let instance = self.text("instance").unwrap_or("-");
         let message = self.text("msg").unwrap_or_default();
         let mut text = format!("{mark} {time}  {instance:<24}  {message}");
         for (name, value) in &self.fields {
-            if COMMON.contains(&name.as_str()) || value.is_null() {
+            if OMITTED_FIELDS.contains(&name.as_str()) || value.is_null() {
                 continue;
             }
             match value.as_str() {
@@ -156,12 +161,12 @@
         _ => Box::new(BufReader::new(File::open(file)?)),
     };
     for line in lines.split(b'\n') {
-        log.take(&String::from_utf8_lossy(&line?));
+        log.add_line(&String::from_utf8_lossy(&line?));
     }
     Ok(())
 }
 
-/// Returns a time of the log in milliseconds since 1970.
+/// Parses the timestamp of a log line, in milliseconds since the Unix epoch.
 fn milliseconds(text: &str) -> Option<i64> {
     let time: jiff::Timestamp = text.parse().ok()?;
     Some(time.as_millisecond())
--- a/crates/oriolectl/tests/commands.rs
+++ b/crates/oriolectl/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The command line against nodes as processes, and what scripts see of it.
+//! `oriolectl` against node processes: its output and exit codes, which scripts depend on.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
     })
 }
 
-/// Writes a document to a file of its own and returns its path.
+/// Writes a document to a temporary file and returns its path.
 fn file(name: &str, document: &Value) -> String {
     let mut path = std::env::temp_dir();
     path.push(format!("oriolectl-test-{}-{name}.json", std::process::id()));
@@ -49,7 +49,7 @@
 #[case::bad_address(&["--instance", "somewhere", "status"], 2)]
 #[case::no_instance(&["status"], 1)]
 #[case::no_file(&["check", "no-such-file.json"], 1)]
-fn exit_codes_tell_scripts_what_happened(#[case] arguments: &[&str], #[case] code: i32) {
+fn exit_codes_match_the_outcome(#[case] arguments: &[&str], #[case] code: i32) {
     let output = run(arguments);
     assert_eq!(output.status.code(), Some(code), "{output:?}");
 }
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn status_covers_all_regions_and_the_loser_of_a_race_is_told_the_version() {
+fn status_covers_all_regions_and_a_conflicting_submission_names_the_accepted_version() {
     let platform = system::platform();
     let engines = [system::engine(Default::default()), system::engine(Default::default())];
     publish(
@@ -91,16 +91,16 @@
     let (first, second) = (file("first", &document("v1")), file("second", &document("v2")));
     let accepted = ask(asked, &["--base", "0", "submit", &first]);
     assert_eq!(accepted.status.code(), Some(0), "{accepted:?}");
-    let lost = ask(asked, &["--base", "0", "submit", &second]);
+    let conflicting = ask(asked, &["--base", "0", "submit", &second]);
     for path in [first, second] {
         std::fs::remove_file(path).expect("it is there");
     }
-    assert_eq!(lost.status.code(), Some(4), "{lost:?}");
-    assert!(String::from_utf8_lossy(&lost.stdout).contains("version 1"), "{lost:?}");
+    assert_eq!(conflicting.status.code(), Some(4), "{conflicting:?}");
+    assert!(String::from_utf8_lossy(&conflicting.stdout).contains("version 1"), "{conflicting:?}");
     let shown = || -> Value {
         serde_json::from_slice(&ask(asked, &["--json", "status"]).stdout).unwrap_or_default()
     };
-    until("both regions hold", || {
+    until("both regions have loaded it", || {
         let status = shown();
         let holds = |region: &str| {
             let mut upstreams = status["upstreams"].as_array().into_iter().flatten();
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn an_operator_sees_what_changes_why_an_adapter_is_where_it_is_and_lets_an_instance_leave() {
+fn diff_explain_and_drain_answer_an_operator() {
     let platform = system::platform();
     let engine = system::engine(Default::default());
     publish(platform, &[listing("engine-1", "coaching", "zurich", engine)]);
@@ -126,7 +126,9 @@
     let mut node = node(&program, "a", "zurich", platform, &[]).expect("it starts");
     let asked = node.address("operators").expect("it printed its addresses");
     let (first, second) = (file("before", &document("v1")), file("after", &document("v2")));
-    until("it joins", || ask(asked, &["--base", "0", "submit", &first]).status.success());
+    until("the first document is accepted", || {
+        ask(asked, &["--base", "0", "submit", &first]).status.success()
+    });
 
     let shown = ask(asked, &["diff", &second]);
     let delta: Value = serde_json::from_slice(&ask(asked, &["--json", "diff", &second]).stdout)
--- a/crates/oriolectl/tests/trace.rs
+++ b/crates/oriolectl/tests/trace.rs
@@ -1,11 +1,11 @@
-//! The story of a request from the logs of several instances.
+//! `oriolectl trace` on the logs of several instances.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
 const ID: &str = "31a63ca60e209eab";
 
-/// A line as an instance writes it at a second of the minute.
+/// Returns a log line as an instance writes it, at a second within a fixed minute.
 fn line(second: &str, instance: &str, level: &str, message: &str, fields: &str) -> String {
     format!(
         "{{\"msg\":\"{message}\",\"level\":\"{level}\",\"ts\":\"2026-12-04T02:00:{second}+00:00\",\
@@ -60,19 +60,19 @@
 }
 
 #[test]
-fn a_request_is_told_in_order_with_what_may_explain_it() {
+fn the_lines_of_a_request_are_shown_in_order_with_related_lines() {
     let output = trace(&[], &logs());
 
     assert_eq!(output.status.code(), Some(0), "{output:?}");
-    let told = text(&output.stdout);
-    let starts: Vec<&str> =
-        told.lines().map(|line| line.split("  ").nth(2).unwrap_or("")).collect();
-    let messages: Vec<bool> = told.lines().map(|line| line.starts_with('*')).collect();
-    assert_eq!(messages, [false, true, false, true], "{told}");
-    assert_eq!(starts.len(), 4);
-    assert!(told.contains("scheduler lost  peer=10.0.0.1:7000"), "{told}");
-    assert!(told.contains("outcome=unanswered"), "{told}");
-    assert!(told.contains("upstreams=\"i-9 lost: reset by peer\""), "{told}");
+    let shown = text(&output.stdout);
+    let messages: Vec<&str> =
+        shown.lines().map(|line| line.split("  ").nth(2).unwrap_or("")).collect();
+    let are_own: Vec<bool> = shown.lines().map(|line| line.starts_with('*')).collect();
+    assert_eq!(are_own, [false, true, false, true], "{shown}");
+    assert_eq!(messages.len(), 4);
+    assert!(shown.contains("scheduler lost  peer=10.0.0.1:7000"), "{shown}");
+    assert!(shown.contains("outcome=unanswered"), "{shown}");
+    assert!(shown.contains("upstreams=\"i-9 lost: reset by peer\""), "{shown}");
 }
 
 #[test]
@@ -101,7 +101,7 @@
     let output = trace(&[], &other);
 
     assert_eq!(output.status.code(), Some(1), "{output:?}");
-    assert!(text(&output.stderr).contains("no line tells"), "{output:?}");
+    assert!(text(&output.stderr).contains("no log line mentions"), "{output:?}");
 }
 
 #[test]
--- a/crates/orioleroute-node/src/callers.rs
+++ b/crates/orioleroute-node/src/callers.rs
@@ -1,4 +1,4 @@
-//! The listener for callers: the OpenAI-compatible API, plain services and routes.
+//! The listener for callers: the OpenAI-compatible API, plain services and route lookups.
 
 use std::rc::Rc;
 
@@ -19,27 +19,27 @@
 /// The header field that says whether a refused request ran.
 pub const RAN: &str = "x-request-ran";
 
-/// The header field that counts the instances that passed a request on.
+/// The header field that counts the instances that have forwarded a request.
 pub const HOPS: &str = "x-orioleroute-hops";
 
-/// How long a request that is passed on may wait for a load, in milliseconds.
+/// The header field with the longest time that a forwarded request may wait for a load, in milliseconds.
 pub const QUEUE_TIMEOUT: &str = "x-orioleroute-queue-timeout-ms";
 
-/// The header field by which an instance says that an attempt of its own may have run.
+/// The header field that a forwarding instance sets if an earlier attempt of its own may have run.
 pub const MAY_HAVE_RUN: &str = "x-orioleroute-may-have-run";
 
-/// When a caller that found no free connection is told to come back, in seconds.
+/// The `retry-after` of a response to a caller that exceeds the connection limit, in seconds.
 const BUSY_RETRY_S: &str = "1";
 
 /// The prefix of the paths of plain services.
-const SERVICES: &str = "/services/";
+const SERVICES_PREFIX: &str = "/services/";
 
 /// Binds the listener.
 pub fn bind(settings: &Settings) -> std::io::Result<TcpListener> {
     TcpListener::bind(settings.caller_address)
 }
 
-/// Takes requests of callers.
+/// Accepts connections of callers and serves their requests.
 pub async fn run(shell: Rc<Shell>, listener: TcpListener) {
     let log = shell.log.clone();
     let settings = &shell.settings;
@@ -53,9 +53,10 @@
         token: None,
     };
     let connections = settings.connections;
-    let served = serve(listener, limits, connections, explain, async move |connection, request| {
-        answer(&shell, connection, request).await
-    });
+    let served =
+        serve(listener, limits, connections, fault_response, async move |connection, request| {
+            answer(&shell, connection, request).await
+        });
     if let Err(cause) = served.await {
         slog::error!(log, "caller listener failed"; "error" => cause.to_string());
     }
@@ -72,25 +73,26 @@
         (&Method::GET, "/v1/models") => connection.respond(models(shell)).await,
         (&Method::POST, "/v1/chat/completions" | "/v1/completions") => match completion(request) {
             Ok(job) => relay::run(shell, connection, job).await,
-            Err(message) => connection.respond(invalid(&message)).await,
+            Err(message) => connection.respond(bad_request(&message)).await,
         },
-        (_, path) if path.starts_with(SERVICES) => match service_call(shell, request) {
+        (_, path) if path.starts_with(SERVICES_PREFIX) => match service_call(shell, request) {
             Ok(job) => relay::run(shell, connection, job).await,
-            Err(message) => connection.respond(invalid(&message)).await,
+            Err(message) => connection.respond(bad_request(&message)).await,
         },
         _ => {
-            let response = problem(StatusCode::NOT_FOUND, "not_found", "no such path", Ran::NotRun);
+            let response =
+                error_response(StatusCode::NOT_FOUND, "not_found", "no such path", Ran::NotRun);
             connection.respond(response).await
         }
     }
 }
 
-/// Tells which instances to use for an adapter or service, in order of preference.
+/// Responds with the instances to use for an adapter or service, in order of preference.
 fn route(shell: &Rc<Shell>, request: &Request) -> Response {
     let target = match (request.parameter("adapter"), request.parameter("service")) {
         (Some(adapter), _) => Target::Model(adapter.into()),
         (None, Some(service)) => Target::Service(service.into()),
-        (None, None) => return invalid("name an adapter or a service in the query"),
+        (None, None) => return bad_request("the query must name an adapter or a service"),
     };
     let region = request.parameter("region").unwrap_or(&shell.settings.region);
     let addresses: Vec<String> = shell.read(|core| {
@@ -98,8 +100,8 @@
         homes.iter().map(|home| home.caller_address.to_string()).collect()
     });
     if addresses.is_empty() {
-        let message = "no instance of that region serves it";
-        return problem(StatusCode::NOT_FOUND, "not_found", message, Ran::NotRun);
+        let message = "no instance in that region serves it";
+        return error_response(StatusCode::NOT_FOUND, "not_found", message, Ran::NotRun);
     }
     let keep_ms = shell.settings.route_life.as_millis() as u64;
     Response::json(StatusCode::OK, &json!({ "addresses": addresses, "keep_ms": keep_ms }))
@@ -119,7 +121,7 @@
     Response::json(StatusCode::OK, &json!({ "object": "list", "data": data }))
 }
 
-/// The fields of a completion that routing needs.
+/// The fields of a completion request that routing needs.
 #[derive(Deserialize)]
 struct Head {
     model: Arc<str>,
@@ -136,12 +138,13 @@
 }
 
 fn service_call(shell: &Rc<Shell>, mut request: Request) -> Result<Job, String> {
-    let rest = request.path.trim_start_matches(SERVICES);
+    let rest = request.path.trim_start_matches(SERVICES_PREFIX);
     let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
     let (name, path): (Arc<str>, String) = (name.into(), format!("/{path}"));
     request.path = path;
-    let marked = shell.read(|core| core.catalog().service(&name).is_some_and(|it| it.repeatable));
-    let repeatable = marked || matches!(request.method, Method::GET | Method::HEAD);
+    let is_marked =
+        shell.read(|core| core.catalog().service(&name).is_some_and(|it| it.repeatable));
+    let repeatable = is_marked || matches!(request.method, Method::GET | Method::HEAD);
     let mut spec = spec_of(&request, Target::Service(name))?;
     spec.repeatable = repeatable;
     Ok(Job { request, spec, stream: false })
@@ -149,11 +152,17 @@
 
 fn spec_of(request: &Request, target: Target) -> Result<Spec, String> {
     let importance = match request.header("x-importance") {
-        Some(text) => Some(text.parse().map_err(|_| format!("x-importance is {text:?}"))?),
+        Some(text) => Some(
+            text.parse()
+                .map_err(|_| format!("x-importance is {text:?}, expected low, normal or high"))?,
+        ),
         None => None,
     };
     let timeout = match request.header("x-deadline-ms") {
-        Some(text) => Some(text.parse().map_err(|_| format!("x-deadline-ms is {text:?}"))?),
+        Some(text) => Some(
+            text.parse()
+                .map_err(|_| format!("x-deadline-ms is {text:?}, expected milliseconds"))?,
+        ),
         None => None,
     };
     let queue_timeout = request.header(QUEUE_TIMEOUT).and_then(|text| text.parse().ok());
@@ -169,54 +178,57 @@
     })
 }
 
-/// Answers a fault in the API's form.
-fn explain(fault: &Fault) -> Response {
+/// Returns the response to a faulty request, in the error format of the API.
+fn fault_response(fault: &Fault) -> Response {
     let kind = match fault {
         Fault::Busy => "overloaded",
         _ => "invalid_request_error",
     };
-    let response = problem(fault.status(), kind, &fault.to_string(), Ran::NotRun);
+    let response = error_response(fault.status(), kind, &fault.to_string(), Ran::NotRun);
     match fault {
         Fault::Busy => response.with("retry-after", BUSY_RETRY_S),
         _ => response,
     }
 }
 
-fn invalid(message: &str) -> Response {
-    problem(StatusCode::BAD_REQUEST, "invalid_request_error", message, Ran::NotRun)
+fn bad_request(message: &str) -> Response {
+    error_response(StatusCode::BAD_REQUEST, "invalid_request_error", message, Ran::NotRun)
 }
 
-/// Answers a refusal in the API's form, with when to come back.
-pub fn refusal(refusal: &Refusal) -> Response {
+/// Returns the response to a refused request, in the error format of the API and with its `retry-after`.
+pub fn refusal_response(refusal: &Refusal) -> Response {
     let (status, message) = match refusal.kind {
         Kind::NotFound => (StatusCode::NOT_FOUND, "no such adapter, version or service"),
-        Kind::Overloaded => (StatusCode::TOO_MANY_REQUESTS, "too many requests wait"),
-        Kind::Unavailable => (StatusCode::SERVICE_UNAVAILABLE, "nothing can answer now"),
+        Kind::Overloaded => (StatusCode::TOO_MANY_REQUESTS, "too many requests are waiting"),
+        Kind::Unavailable => {
+            (StatusCode::SERVICE_UNAVAILABLE, "no instance or upstream is available")
+        }
         Kind::Deadline => (StatusCode::GATEWAY_TIMEOUT, "the deadline cannot be met"),
-        Kind::Conflict => (StatusCode::CONFLICT, "the idempotency key was used before"),
+        Kind::Conflict => (StatusCode::CONFLICT, "the idempotency key was already used"),
         Kind::Upstream => (StatusCode::BAD_GATEWAY, "the upstream failed"),
     };
-    let response = problem(status, &refusal.kind.to_string(), message, refusal.ran);
+    let response = error_response(status, &refusal.kind.to_string(), message, refusal.ran);
     match refusal.retry_after {
         Some(wait) => response.with("retry-after", wait.as_secs().max(1).to_string()),
         None => response,
     }
 }
 
-/// Returns the last event of a stream that broke off.
+/// Returns the error event that ends an interrupted stream.
 ///
-/// The blank line before it ends an event of which only a part arrived.
-pub fn broken_off() -> Bytes {
+/// The blank line before it terminates an event that arrived only in part.
+pub fn error_event() -> Bytes {
     let kind = Kind::Upstream.to_string();
-    let body = error(StatusCode::BAD_GATEWAY, &kind, "the stream broke off", Ran::MayHaveRun);
+    let body =
+        error_body(StatusCode::BAD_GATEWAY, &kind, "the stream was interrupted", Ran::MayHaveRun);
     format!("\n\ndata: {body}\n\n").into()
 }
 
-fn problem(status: StatusCode, kind: &str, message: &str, ran: Ran) -> Response {
-    Response::json(status, &error(status, kind, message, ran)).with(RAN, ran.to_string())
+fn error_response(status: StatusCode, kind: &str, message: &str, ran: Ran) -> Response {
+    Response::json(status, &error_body(status, kind, message, ran)).with(RAN, ran.to_string())
 }
 
-fn error(status: StatusCode, kind: &str, message: &str, ran: Ran) -> Value {
+fn error_body(status: StatusCode, kind: &str, message: &str, ran: Ran) -> Value {
     json!({ "error": {
         "message": message,
         "type": kind,
@@ -226,10 +238,10 @@
     }})
 }
 
-/// Returns the body of a completion with another model name.
-pub fn rename_model(body: &Bytes, name: &str, importance: u32) -> Bytes {
+/// Returns the body of a completion request with its model name and engine priority replaced.
+pub fn set_model(body: &Bytes, name: &str, priority: u32) -> Bytes {
     let Ok(mut value) = serde_json::from_slice::<Value>(body) else { return body.clone() };
     value["model"] = name.into();
-    value["priority"] = importance.into();
+    value["priority"] = priority.into();
     serde_json::to_vec(&value).map_or_else(|_| body.clone(), Bytes::from)
 }
--- a/crates/orioleroute-node/src/engines.rs
+++ b/crates/orioleroute-node/src/engines.rs
@@ -1,4 +1,4 @@
-//! Orders to engines and reports from them.
+//! Sends orders to engines and fetches their reports.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,14 +13,14 @@
 
 use crate::shell::Shell;
 
-/// The longest wait for an order to be done.
+/// The longest wait for an engine to complete an order.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The longest wait for a report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Gives an order.
-pub async fn order(
+/// Sends an order to an engine and passes its outcome to the core.
+pub async fn send_order(
     shell: Rc<Shell>,
     ticket: Ticket,
     upstream: key::Upstream,
@@ -45,16 +45,16 @@
         Err(_) => Outcome::Unknown,
     };
     if outcome != Outcome::Done {
-        warn!(shell.log, "order not done"; "upstream" => address.to_string(),
+        warn!(shell.log, "order did not succeed"; "upstream" => address.to_string(),
             "served" => &**order.name(), "outcome" => format!("{outcome:?}"));
     }
-    shell.feed(Event::Ordered { ticket, upstream, outcome });
+    shell.handle(Event::Ordered { ticket, upstream, outcome });
 }
 
-/// Asks for a report.
+/// Fetches an engine's report and passes it, or its absence, to the core.
 pub async fn probe(shell: Rc<Shell>, upstream: key::Upstream, address: SocketAddr) {
     let call = Call::new(Method::GET, "/report");
     let answer = shell.pool.call_within(address, call, REPORT_TIMEOUT).await;
     let report = answer.and_then(|answer| answer.json::<Report>(address)).ok();
-    shell.feed(Event::Report { upstream, report });
+    shell.handle(Event::Report { upstream, report });
 }
--- a/crates/orioleroute-node/src/log.rs
+++ b/crates/orioleroute-node/src/log.rs
@@ -1,4 +1,4 @@
-//! The log: JSON lines or terminal lines on standard error.
+//! The log: JSON lines or plain text, on standard error or standard output.
 
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 use std::time::Instant;
@@ -8,11 +8,11 @@
 use crate::gateway;
 use crate::settings::{LogFormat, Settings};
 
-/// Log lines that may wait to be written; more are dropped and counted by the library.
+/// The maximum number of log lines queued for writing; the library drops and counts lines beyond it.
 const QUEUE_LINES: usize = 8_192;
 
-/// Returns the logger of the process.
-pub fn logger(settings: &Settings) -> Logger {
+/// Returns the logger of an instance with the documents backend, which writes to standard error.
+pub fn to_stderr(settings: &Settings) -> Logger {
     let level = settings.log_level;
     let drain = match settings.log_format {
         LogFormat::Json => {
@@ -32,10 +32,10 @@
     )
 }
 
-/// Returns the logger of an instance on a platform, whose lines go to standard output.
+/// Returns the logger of an instance with the platform backend, which writes to standard output.
 ///
-/// Writing never blocks the loop: lines beyond the queue are dropped and counted, and a reader that
-/// has gone away is not missed.
+/// Logging never blocks the event loop: lines beyond the queue are dropped and counted, and write
+/// errors, such as those of a closed pipe, are ignored.
 pub fn to_stdout(settings: &gateway::Settings) -> Logger {
     let drain = match settings.log_format {
         LogFormat::Json => {
@@ -48,7 +48,7 @@
             slog_async::Async::new(drain).chan_size(QUEUE_LINES).build()
         }
     };
-    let drain = Bounded::new(drain.ignore_res(), settings.log_lines);
+    let drain = RateLimited::new(drain.ignore_res(), settings.log_lines);
     let drain = slog::LevelFilter::new(drain, settings.log_level).ignore_res();
     Logger::root(
         drain,
@@ -56,11 +56,11 @@
     )
 }
 
-/// A drain that lets so many lines through in a second and counts the rest.
+/// A drain that passes at most `limit` lines a second and counts the rest.
 ///
-/// Lines that are at least warnings have as much room again, so that a flood of decisions does not
-/// hide what went wrong.
-struct Bounded<D> {
+/// For lines at warning level or above the limit is twice as high, so that a flood of logged decisions
+/// does not crowd out warnings and errors.
+struct RateLimited<D> {
     drain: D,
     limit: u32,
     started: Instant,
@@ -68,13 +68,13 @@
     lines: AtomicU32,
 }
 
-impl<D> Bounded<D> {
+impl<D> RateLimited<D> {
     fn new(drain: D, limit: u32) -> Self {
         let (second, lines) = (AtomicU64::new(0), AtomicU32::new(0));
         Self { drain, limit, started: Instant::now(), second, lines }
     }
 
-    /// Returns whether a line may pass, after starting the count anew in each second.
+    /// Counts a line and returns whether it may pass; the count restarts each second.
     fn admits(&self, level: Level) -> bool {
         let second = self.started.elapsed().as_secs();
         if self.second.swap(second, Ordering::Relaxed) != second {
@@ -86,7 +86,7 @@
     }
 }
 
-impl<D: Drain<Ok = (), Err = slog::Never>> Drain for Bounded<D> {
+impl<D: Drain<Ok = (), Err = slog::Never>> Drain for RateLimited<D> {
     type Ok = ();
     type Err = slog::Never;
 
--- a/crates/orioleroute-node/src/main.rs
+++ b/crates/orioleroute-node/src/main.rs
@@ -1,7 +1,7 @@
 //! The orioleroute daemon: one instance between callers and upstreams.
 //!
-//! `docs/OPERATIONS.md` tells how to run it, `--help` lists its settings. The decisions are the
-//! core's, in the crate `orioleroute`; this program gives it sockets, timers and a log.
+//! `docs/OPERATIONS.md` describes how to run it, and `--help` lists its settings. The core in the crate
+//! `orioleroute` makes the decisions; this program provides its sockets, timers and log.
 
 mod callers;
 mod engines;
@@ -47,7 +47,7 @@
     }
 }
 
-/// Runs the instance until it has left and every request has had its final answer.
+/// Runs the instance until it has left the membership and every request has had its final response.
 async fn run(settings: Settings) -> std::io::Result<()> {
     let metrics = meter::install();
     let callers = callers::bind(&settings)?;
@@ -63,7 +63,7 @@
     monoio::spawn(callers::run(shell.clone(), callers));
     monoio::spawn(peers::run(shell.clone(), peers));
     monoio::spawn(operators::run(shell.clone(), operators, metrics));
-    monoio::spawn(platform::watch_list(shell.clone()));
+    monoio::spawn(platform::poll_instance_list(shell.clone()));
     monoio::spawn(signals::watch(shell.clone())?);
     shell.tick_until_done().await;
     Ok(())
--- a/crates/orioleroute-node/src/meter.rs
+++ b/crates/orioleroute-node/src/meter.rs
@@ -1,4 +1,4 @@
-//! Metrics, counted from the events that go into the core and the effects that come out.
+//! Metrics, derived from the events that the core handles and the effects that it returns.
 //!
 //! `docs/OPERATIONS.md` lists them. Names and units follow Prometheus: seconds, bytes, `_total`.
 
@@ -13,41 +13,41 @@
 use orioleroute::request::{Failure, Progress, Step};
 use orioleroute::{Core, table};
 
-/// The upper bounds of the buckets of times, in seconds.
+/// The upper bounds of the histogram buckets, in seconds.
 const BUCKETS_S: [f64; 14] =
     [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.46, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0, 120.0];
 
 /// Installs the recorder of metrics and returns the handle that renders them.
 pub fn install() -> PrometheusHandle {
-    // Setting buckets fails only if there are none.
+    // Setting the buckets fails only if the list is empty.
     let builder = PrometheusBuilder::new().set_buckets(&BUCKETS_S).unwrap_or_default();
     let recorder = builder.build_recorder();
     let handle = recorder.handle();
-    // A recorder that was installed before stays; this process installs only this one.
+    // Fails only if a recorder was installed before; this process installs just this one.
     let _ = metrics::set_global_recorder(recorder);
     handle
 }
 
-/// Counts what passes between the core and its surroundings.
+/// Updates the metrics from events and effects.
 #[derive(Default)]
 pub struct Meter {
     arrivals: RefCell<HashMap<key::Request, Clock>>,
 }
 
 impl Meter {
-    /// Counts an event before the core takes it.
-    pub fn take_event(&self, event: &Event) {
+    /// Observes an event before the core handles it.
+    pub fn observe_event(&self, event: &Event) {
         match event {
             Event::Arrived { request, .. } => {
                 self.arrivals.borrow_mut().insert(*request, Clock::now());
             }
-            Event::Progress { request, progress } => self.take_progress(*request, *progress),
+            Event::Progress { request, progress } => self.observe_progress(*request, *progress),
             Event::Ordered { outcome, .. } => {
-                counter!("orioleroute_orders_total", "outcome" => order_outcome(*outcome))
+                counter!("orioleroute_orders_total", "outcome" => order_label(*outcome))
                     .increment(1);
             }
             Event::Table { outcome, .. } => {
-                counter!("orioleroute_table_operations_total", "outcome" => table_outcome(outcome))
+                counter!("orioleroute_table_operations_total", "outcome" => table_label(outcome))
                     .increment(1);
             }
             Event::Message { .. } => {
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Counts an effect before it is carried out.
-    pub fn take_effect(&self, effect: &Effect) {
+    /// Observes an effect before it is applied.
+    pub fn observe_effect(&self, effect: &Effect) {
         match effect {
             Effect::Send { .. } => {
                 counter!("orioleroute_peer_messages_total", "direction" => "sent").increment(1);
@@ -77,7 +77,7 @@
                 counter!("orioleroute_refusals_total",
                     "kind" => refusal.kind.to_string(), "ran" => refusal.ran.to_string())
                 .increment(1);
-                self.end(*request, "refused");
+                self.record_end(*request, "refused");
             }
             Effect::Request { step: Step::Forward { .. }, .. } => {
                 counter!("orioleroute_forwards_total").increment(1);
@@ -87,14 +87,14 @@
     }
 
     /// Sets the gauges from the core's state.
-    pub fn read(&self, core: &Core, now: Instant) {
+    pub fn update_gauges(&self, core: &Core, now: Instant) {
         let lease = if core.membership().holds_lease(now) { 1.0 } else { 0.0 };
         gauge!("orioleroute_lease_held").set(lease);
         gauge!("orioleroute_config_version").set(core.version() as f64);
         gauge!("orioleroute_requests_in_flight").set(core.requests().len() as f64);
     }
 
-    fn take_progress(&self, request: key::Request, progress: Progress) {
+    fn observe_progress(&self, request: key::Request, progress: Progress) {
         match progress {
             Progress::Begun => {
                 if let Some(arrived) = self.arrivals.borrow().get(&request) {
@@ -103,16 +103,16 @@
                 }
             }
             Progress::Failed(failure) => {
-                counter!("orioleroute_failed_attempts_total", "failure" => failure_name(failure))
+                counter!("orioleroute_failed_attempts_total", "failure" => failure_label(failure))
                     .increment(1);
             }
-            Progress::Finished => self.end(request, "finished"),
-            Progress::Gone => self.end(request, "gone"),
+            Progress::Finished => self.record_end(request, "finished"),
+            Progress::Gone => self.record_end(request, "gone"),
         }
     }
 
-    fn end(&self, request: key::Request, outcome: &'static str) {
-        // A request that was refused is not told of again.
+    fn record_end(&self, request: key::Request, outcome: &'static str) {
+        // A refused request has been counted at the refusal and has no arrival left.
         let Some(arrived) = self.arrivals.borrow_mut().remove(&request) else { return };
         counter!("orioleroute_requests_total", "outcome" => outcome).increment(1);
         histogram!("orioleroute_request_duration_seconds", "outcome" => outcome)
@@ -120,7 +120,7 @@
     }
 }
 
-fn failure_name(failure: Failure) -> &'static str {
+fn failure_label(failure: Failure) -> &'static str {
     match failure {
         Failure::Unsent => "unsent",
         Failure::Declined => "declined",
@@ -129,7 +129,7 @@
     }
 }
 
-fn order_outcome(outcome: engine::Outcome) -> &'static str {
+fn order_label(outcome: engine::Outcome) -> &'static str {
     match outcome {
         engine::Outcome::Done => "done",
         engine::Outcome::Failed => "failed",
@@ -138,7 +138,7 @@
     }
 }
 
-fn table_outcome(outcome: &table::Outcome) -> &'static str {
+fn table_label(outcome: &table::Outcome) -> &'static str {
     match outcome {
         table::Outcome::Rows(_) => "read",
         table::Outcome::Written => "written",
--- a/crates/orioleroute-node/src/operators.rs
+++ b/crates/orioleroute-node/src/operators.rs
@@ -13,30 +13,36 @@
 use crate::settings::Settings;
 use crate::shell::Shell;
 
-/// Connections of operators that are open at a time.
-const CONNECTIONS: usize = 256;
+/// The maximum number of open connections of operators.
+const MAX_CONNECTIONS: usize = 256;
 
 /// Binds the listener.
 pub fn bind(settings: &Settings) -> std::io::Result<TcpListener> {
     TcpListener::bind(settings.operator_address)
 }
 
-/// Takes commands of operators.
+/// Accepts connections of operators and serves their requests.
 pub async fn run(shell: Rc<Shell>, listener: TcpListener, metrics: PrometheusHandle) {
     let log = shell.log.clone();
     let token = Some(shell.settings.operator_token.as_str().into());
     let limits = Limits { body_bytes: 64 << 20, token, ..Limits::default() };
-    let served = serve(listener, limits, CONNECTIONS, explain, async move |connection, request| {
-        let response = answer(&shell, &metrics, &request).await;
-        connection.respond(response).await
-    });
+    let served = serve(
+        listener,
+        limits,
+        MAX_CONNECTIONS,
+        fault_response,
+        async move |connection, request| {
+            let response = answer(&shell, &metrics, &request).await;
+            connection.respond(response).await
+        },
+    );
     if let Err(cause) = served.await {
         error!(log, "operator listener failed"; "error" => cause.to_string());
     }
 }
 
-/// Answers a fault in the form that the operator and peer listeners use.
-pub fn explain(fault: &Fault) -> Response {
+/// Returns the response to a faulty request, in the error format of the operator and peer listeners.
+pub fn fault_response(fault: &Fault) -> Response {
     Response::json(fault.status(), &json!({ "error": fault.to_string() }))
 }
 
@@ -45,7 +51,7 @@
         (&Method::GET, "/livez") => Response::text(StatusCode::OK, "live"),
         (&Method::GET, "/readyz") => readiness(shell),
         (&Method::GET, "/metrics") => {
-            shell.read(|core| shell.meter.read(core, shell.now()));
+            shell.read(|core| shell.meter.update_gauges(core, shell.now()));
             Response::typed(StatusCode::OK, "text/plain; version=0.0.4", metrics.render())
         }
         (&Method::POST, "/command") => command(shell, request).await,
--- a/crates/orioleroute-node/src/peers.rs
+++ b/crates/orioleroute-node/src/peers.rs
@@ -14,28 +14,28 @@
 use crate::settings::Settings;
 use crate::shell::Shell;
 
-/// Connections of peers that are open at a time.
-const CONNECTIONS: usize = 4_096;
+/// The maximum number of open connections of peers.
+const MAX_CONNECTIONS: usize = 4_096;
 
 /// Binds the listener.
 pub fn bind(settings: &Settings) -> std::io::Result<TcpListener> {
     TcpListener::bind(settings.peer_address)
 }
 
-/// Takes messages of peers.
+/// Accepts connections of peers and passes their messages to the core.
 pub async fn run(shell: Rc<Shell>, listener: TcpListener) {
     let log = shell.log.clone();
     let token = Some(shell.settings.peer_token.as_str().into());
     let limits = Limits { body_bytes: 64 << 20, token, ..Limits::default() };
-    let served = serve(listener, limits, CONNECTIONS, crate::operators::explain, {
-        async move |connection, request| connection.respond(take(&shell, &request)).await
+    let served = serve(listener, limits, MAX_CONNECTIONS, crate::operators::fault_response, {
+        async move |connection, request| connection.respond(handle(&shell, &request)).await
     });
     if let Err(cause) = served.await {
         error!(log, "peer listener failed"; "error" => cause.to_string());
     }
 }
 
-fn take(shell: &Rc<Shell>, request: &Request) -> Response {
+fn handle(shell: &Rc<Shell>, request: &Request) -> Response {
     if request.method != Method::POST || request.path != rpc::PATH {
         return Response::empty(StatusCode::NOT_FOUND);
     }
@@ -45,14 +45,14 @@
     let sender = request.header(rpc::SENDER);
     match (sender, rpc::decode::<Message>(&request.body)) {
         (Some(from), Ok(message)) => {
-            shell.feed(Event::Message { from: from.into(), message });
+            shell.handle(Event::Message { from: from.into(), message });
             Response::empty(StatusCode::NO_CONTENT)
         }
-        (None, _) => unreadable(&format!("the header field {} is missing", rpc::SENDER)),
-        (_, Err(error)) => unreadable(&error.to_string()),
+        (None, _) => bad_request(&format!("the header field {} is missing", rpc::SENDER)),
+        (_, Err(error)) => bad_request(&error.to_string()),
     }
 }
 
-fn unreadable(message: &str) -> Response {
+fn bad_request(message: &str) -> Response {
     Response::json(StatusCode::BAD_REQUEST, &json!({ "error": message }))
 }
--- a/crates/orioleroute-node/src/platform.rs
+++ b/crates/orioleroute-node/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's table service, object store and instance list.
+//! Access to the platform's table service, object store and instance list.
 
 use std::rc::Rc;
 
@@ -15,13 +15,13 @@
 use crate::shell::Shell;
 
 /// The longest wait for a reply of the platform.
-const TIMEOUT: Duration = Duration::from_millis(1_500);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Between two readings of the instance list.
-const LIST_POLL: Duration = Duration::from_millis(1_000);
+/// The time between two reads of the instance list.
+const LIST_POLL_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Carries out a table operation in DynamoDB's JSON protocol.
-pub async fn table(shell: Rc<Shell>, ticket: Ticket, operation: Operation) {
+/// Runs a table operation over DynamoDB's JSON protocol and passes its outcome to the core.
+pub async fn run_table_operation(shell: Rc<Shell>, ticket: Ticket, operation: Operation) {
     let (target, body) = match &operation {
         Operation::Read(keys) => ("BatchGetItem", read_body(&shell.settings.table_name, keys)),
         Operation::Write(writes) => {
@@ -33,15 +33,15 @@
         .json(&body)
         .header("content-type", "application/x-amz-json-1.0");
     let address = shell.settings.table_address;
-    let outcome = match shell.pool.call_within(address, call, TIMEOUT).await {
+    let outcome = match shell.pool.call_within(address, call, REPLY_TIMEOUT).await {
         Ok(answer) => outcome_of(&operation, &answer),
         Err(error) if error.step == Step::Connect => Outcome::Failed,
         Err(_) => Outcome::Unknown,
     };
     if matches!(outcome, Outcome::Failed | Outcome::Unknown) {
-        warn!(shell.log, "table did not answer"; "operation" => target);
+        warn!(shell.log, "table operation did not succeed"; "operation" => target);
     }
-    shell.feed(Event::Table { ticket, outcome });
+    shell.handle(Event::Table { ticket, outcome });
 }
 
 fn read_body(table: &str, keys: &[Arc<str>]) -> Value {
@@ -110,38 +110,38 @@
     })
 }
 
-/// Writes an object.
-pub async fn put(shell: Rc<Shell>, ticket: Ticket, key: Arc<str>, value: Arc<str>) {
+/// Writes an object and passes the outcome to the core.
+pub async fn write_object(shell: Rc<Shell>, ticket: Ticket, key: Arc<str>, value: Arc<str>) {
     let call = Call::new(Method::PUT, format!("/objects/{key}"))
         .body("application/json", value.as_bytes().to_vec());
     let address = shell.settings.objects_address;
-    let answer = shell.pool.call_within(address, call, TIMEOUT).await;
+    let answer = shell.pool.call_within(address, call, REPLY_TIMEOUT).await;
     let stored = answer.is_ok_and(|answer| answer.status.is_success());
-    shell.feed(Event::Put { ticket, stored });
+    shell.handle(Event::Put { ticket, stored });
 }
 
-/// Reads an object.
-pub async fn get(shell: Rc<Shell>, ticket: Ticket, key: Arc<str>) {
+/// Reads an object and passes its value, or its absence, to the core.
+pub async fn read_object(shell: Rc<Shell>, ticket: Ticket, key: Arc<str>) {
     let call = Call::new(Method::GET, format!("/objects/{key}"));
     let address = shell.settings.objects_address;
-    let answer = shell.pool.call_within(address, call, TIMEOUT).await;
+    let answer = shell.pool.call_within(address, call, REPLY_TIMEOUT).await;
     let value = answer
         .ok()
         .filter(|answer| answer.status.is_success())
         .and_then(|answer| String::from_utf8(answer.body.to_vec()).ok())
         .map(Arc::from);
-    shell.feed(Event::Got { ticket, value });
+    shell.handle(Event::Got { ticket, value });
 }
 
-/// Reads the instance list again and again.
-pub async fn watch_list(shell: Rc<Shell>) {
+/// Reads the instance list periodically and passes it to the core.
+pub async fn poll_instance_list(shell: Rc<Shell>) {
     let address = shell.settings.list_address;
     loop {
         let call = Call::new(Method::GET, "/instances");
-        let answer = shell.pool.call_within(address, call, TIMEOUT).await;
+        let answer = shell.pool.call_within(address, call, REPLY_TIMEOUT).await;
         if let Ok(list) = answer.and_then(|answer| answer.json::<Vec<Listing>>(address)) {
-            shell.feed(Event::Listed(list));
+            shell.handle(Event::Listed(list));
         }
-        monoio::time::sleep(LIST_POLL).await;
+        monoio::time::sleep(LIST_POLL_INTERVAL).await;
     }
 }
--- a/crates/orioleroute-node/src/relay.rs
+++ b/crates/orioleroute-node/src/relay.rs
@@ -1,4 +1,4 @@
-//! One request of a caller: the steps that the core decides, and the answer's way back.
+//! Runs one request of a caller: executes the steps that the core decides and relays the response.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,70 +14,71 @@
 use serde::Deserialize;
 
 use crate::callers;
-use crate::events::{Events, first_data};
+use crate::events::{EventSplitter, first_data};
 use crate::shell::Shell;
 
-/// The header field that names the adapter that answered.
+/// The header field that names the adapter that served the request.
 const SERVED_ADAPTER: &str = "x-served-adapter";
 
-/// The header field that names the version that answered.
+/// The header field that names the version that served the request.
 const SERVED_VERSION: &str = "x-served-version";
 
-/// The header field by which an engine names a stream, so that it can be resumed.
+/// The header field with an engine's id of a stream, under which the stream can be resumed.
 const STREAM_ID: &str = "x-stream-id";
 
-/// The header field that asks an engine to resume a stream.
+/// The header field with the id of the stream that an engine is asked to resume.
 const RESUME_STREAM: &str = "x-resume-stream";
 
-/// The header field that counts the events of it that have arrived.
+/// The header field with the number of events of that stream that have arrived.
 const RESUME_EVENTS: &str = "x-resume-events";
 
-/// The header field by which an engine confirms after how many events it goes on.
+/// The header field in which an engine confirms after how many events it resumes the stream.
 const RESUMED_AFTER: &str = "x-resumed-after";
 
-/// How often one stream is resumed, at most.
-const RESUMES: u32 = 3;
+/// The maximum number of times that one stream is resumed.
+const MAX_RESUMES: u32 = 3;
 
 /// The longest wait for an engine to resume a stream.
 const RESUME_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The longest silence within an answer, after which it counts as broken off.
-const STALL: Duration = Duration::from_secs(10);
+/// The longest time without data within a response, after which it counts as broken.
+const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A request with what routing needs of it.
+/// A request with its routing parameters.
 pub struct Job {
     /// The request.
     pub request: Request,
-    /// What it asks.
+    /// The routing parameters.
     pub spec: Spec,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     pub stream: bool,
 }
 
-/// How an attempt ended, if the caller's connection is still good.
+/// How an attempt ended, with the caller's connection still usable.
 enum Attempt {
-    /// The caller has the whole answer.
+    /// The caller has the complete response.
     Finished,
-    /// It failed before the caller got any part of the answer.
+    /// It failed before any part of the response was sent to the caller.
     Failed(Failure),
-    /// It failed after the caller got a part, and the caller was told so.
-    BrokenOff,
+    /// It failed after a part was sent, and an error event ended the caller's stream.
+    Interrupted,
 }
 
-/// Runs a request until its final answer.
+/// Runs a request until its final response.
 ///
 /// # Errors
 ///
-/// Fails if the caller is gone or the answer broke off, so that the connection is closed.
+/// Fails if the caller disconnected or the response could not be written completely; the connection then
+/// has to be closed.
 pub async fn run(shell: &Rc<Shell>, connection: &mut Connection, job: Job) -> Result<(), Error> {
     let (key, mut steps) = shell.admit();
-    let mut guard = Guard { shell: shell.clone(), key, last: Progress::Gone };
+    let mut guard = Guard { shell: shell.clone(), key, outcome: Progress::Gone };
     let Job { request, spec, stream } = job;
     if let Some(name) = request.header("x-request-id") {
         shell.name_request(key, name);
     }
     let hops = spec.hops;
-    shell.feed(Event::Arrived { request: key, spec });
+    shell.handle(Event::Arrived { request: key, spec });
     loop {
         let step = monoio::select! {
             step = steps.recv() => step,
@@ -85,11 +86,11 @@
         };
         let attempt = match step {
             None => {
-                return Err(gone(connection));
+                return Err(caller_disconnected(connection));
             }
             Some(Step::Refuse(refusal)) => {
                 guard.disarm();
-                return connection.respond(callers::refusal(&refusal)).await;
+                return connection.respond(callers::refusal_response(&refusal)).await;
             }
             Some(Step::Dispatch(dispatch)) => {
                 let call = call_upstream(&request, &dispatch);
@@ -111,49 +112,50 @@
         };
         match attempt {
             Attempt::Finished => {
-                guard.last = Progress::Finished;
+                guard.outcome = Progress::Finished;
                 return Ok(());
             }
             Attempt::Failed(failure) => {
-                shell.feed(Event::Progress { request: key, progress: Progress::Failed(failure) });
+                shell.handle(Event::Progress { request: key, progress: Progress::Failed(failure) });
             }
-            Attempt::BrokenOff => {
-                guard.last = Progress::Failed(Failure::Broken);
+            Attempt::Interrupted => {
+                guard.outcome = Progress::Failed(Failure::Broken);
                 return Ok(());
             }
         }
     }
 }
 
-/// How much longer than the time left the refusal of another instance is waited for.
+/// How much longer than the request's remaining time to wait for another instance, whose refusal may
+/// arrive only after the deadline.
 const FORWARD_MARGIN: Duration = Duration::from_millis(500);
 
-/// Tells the core how a request ended, whatever way its task ends.
+/// Reports the outcome of a request to the core when dropped, however the request's task ends.
 struct Guard {
     shell: Rc<Shell>,
     key: key::Request,
-    last: Progress,
+    outcome: Progress,
 }
 
 impl Guard {
-    /// Leaves it at what the core already knows.
+    /// Suppresses the report, for an outcome that the core decided itself.
     fn disarm(&mut self) {
-        self.last = Progress::Begun;
+        self.outcome = Progress::Begun;
     }
 }
 
 impl Drop for Guard {
     fn drop(&mut self) {
-        self.shell.forget(self.key);
-        if self.last != Progress::Begun {
-            self.shell.feed(Event::Progress { request: self.key, progress: self.last });
+        self.shell.remove_request(self.key);
+        if self.outcome != Progress::Begun {
+            self.shell.handle(Event::Progress { request: self.key, progress: self.outcome });
         }
     }
 }
 
 fn call_upstream(request: &Request, dispatch: &Dispatch) -> Call {
     let body = match &dispatch.name {
-        Some(name) => callers::rename_model(&request.body, name, priority(dispatch.importance)),
+        Some(name) => callers::set_model(&request.body, name, priority(dispatch.importance)),
         None => request.body.clone(),
     };
     let mut call = Call::new(request.method.clone(), path_of(request));
@@ -186,7 +188,7 @@
     }
 }
 
-/// Returns the priority that engines use, in which the lowest number goes first.
+/// Returns the priority number for engines, which run requests with lower numbers first.
 fn priority(importance: Importance) -> u32 {
     match importance {
         Importance::High => 0,
@@ -195,11 +197,11 @@
     }
 }
 
-/// Where an answer comes from.
+/// Where a response comes from.
 struct Source<'a> {
     address: SocketAddr,
     call: Call,
-    /// The served name that must answer; `None` for a plain service or another instance.
+    /// The served name that the response must carry; `None` for a plain service or another instance.
     expected: Option<&'a str>,
 }
 
@@ -213,7 +215,7 @@
     let pool = &guard.shell.pool;
     let opened = monoio::select! {
         opened = monoio::time::timeout(timeout, pool.open(source.address, source.call.clone())) => opened,
-        _ = connection.closed() => return Err(gone(connection)),
+        _ = connection.closed() => return Err(caller_disconnected(connection)),
     };
     let incoming = match opened {
         Ok(Ok(incoming)) => incoming,
@@ -232,132 +234,136 @@
     }
     match stream && incoming.status.is_success() {
         true => relay_stream(guard, connection, incoming, source).await,
-        false => relay_whole(connection, incoming, source.expected).await,
+        false => relay_buffered(connection, incoming, source.expected).await,
     }
 }
 
-fn gone(connection: &Connection) -> Error {
-    Error::new(WireStep::Send, connection.peer(), "the caller is gone")
+fn caller_disconnected(connection: &Connection) -> Error {
+    Error::new(WireStep::Send, connection.peer(), "the caller disconnected")
 }
 
-/// Returns the next part of an answer, or `None` at its end; a silence counts as an error.
-async fn next_part(
+/// Returns the next chunk of a response, or `None` at its end.
+///
+/// A chunk that does not arrive within [`STALL_TIMEOUT`] counts as an error of the upstream; the outer
+/// error means that the caller disconnected.
+async fn next_chunk(
     connection: &mut Connection,
     incoming: &mut Incoming,
 ) -> Result<Option<Result<Bytes, Error>>, Error> {
     let peer = incoming.peer;
     monoio::select! {
-        part = monoio::time::timeout(STALL, incoming.next()) => match part {
-            Ok(part) => Ok(part),
-            Err(_) => Ok(Some(Err(Error::new(WireStep::Body, peer, "silent for too long")))),
+        chunk = monoio::time::timeout(STALL_TIMEOUT, incoming.next()) => match chunk {
+            Ok(chunk) => Ok(chunk),
+            Err(_) => Ok(Some(Err(Error::new(WireStep::Body, peer, "no data within the stall timeout")))),
         },
-        _ = connection.closed() => Err(gone(connection)),
+        _ = connection.closed() => Err(caller_disconnected(connection)),
     }
 }
 
-/// Passes a whole answer on, once it is complete and by the right revision.
-async fn relay_whole(
+/// Relays a response once it is complete and was served by the expected revision.
+async fn relay_buffered(
     connection: &mut Connection,
     mut incoming: Incoming,
     expected: Option<&str>,
 ) -> Result<Attempt, Error> {
     let mut body = Vec::new();
-    while let Some(part) = next_part(connection, &mut incoming).await? {
-        match part {
-            Ok(part) => body.extend_from_slice(&part),
+    while let Some(chunk) = next_chunk(connection, &mut incoming).await? {
+        match chunk {
+            Ok(chunk) => body.extend_from_slice(&chunk),
             Err(_) => return Ok(Attempt::Failed(Failure::Broken)),
         }
     }
     let success = incoming.status.is_success();
     if let Some(expected) = expected
         && success
-        && served_by(&body).as_deref() != Some(expected)
+        && served_name(&body).as_deref() != Some(expected)
     {
         return Ok(Attempt::Failed(Failure::Broken));
     }
-    let headers = headers_of(&incoming, expected.filter(|_| success));
+    let headers = response_headers(&incoming, expected.filter(|_| success));
     let response = Response { status: incoming.status, headers, body: Bytes::from(body) };
     connection.respond(response).await?;
     Ok(Attempt::Finished)
 }
 
-/// Passes a streamed answer on, each event as it arrives, and resumes it if it breaks off.
+/// Relays a streamed response event by event, and resumes it if it breaks.
 async fn relay_stream(
     guard: &Guard,
     connection: &mut Connection,
     mut incoming: Incoming,
     source: Source<'_>,
 ) -> Result<Attempt, Error> {
-    let mut events = Events::default();
-    let headers = headers_of(&incoming, source.expected);
+    let mut events = EventSplitter::default();
+    let headers = response_headers(&incoming, source.expected);
     let mut resumes = 0;
-    // Whether the first event since the last opening has been seen, which names who answers.
+    // Whether the served name in the first event since the stream was opened or resumed has been
+    // checked.
     let mut checked = false;
-    let mut begun = false;
+    let mut response_started = false;
     loop {
-        let part = match next_part(connection, &mut incoming).await? {
-            Some(Ok(part)) => part,
-            Some(Err(_)) if !begun => return Ok(Attempt::Failed(Failure::Broken)),
+        let chunk = match next_chunk(connection, &mut incoming).await? {
+            Some(Ok(chunk)) => chunk,
+            Some(Err(_)) if !response_started => return Ok(Attempt::Failed(Failure::Broken)),
             Some(Err(_)) => {
                 events.discard();
                 resumes += 1;
                 match resume(guard, connection, &incoming, &source, &events, resumes).await? {
                     Some(resumed) => incoming = resumed,
-                    None => return break_off(connection).await,
+                    None => return end_with_error(connection).await,
                 }
                 checked = false;
                 continue;
             }
-            None if !begun => return Ok(Attempt::Failed(Failure::Broken)),
+            None if !response_started => return Ok(Attempt::Failed(Failure::Broken)),
             None => {
                 connection.chunk(&events.finish()).await?;
                 connection.finish().await?;
                 return Ok(Attempt::Finished);
             }
         };
-        let whole = events.push(part);
-        if whole.is_empty() {
+        let complete = events.push(chunk);
+        if complete.is_empty() {
             continue;
         }
-        if !checked && !is_by(&whole, source.expected) {
-            return match begun {
-                true => break_off(connection).await,
+        if !checked && !is_served_by(&complete, source.expected) {
+            return match response_started {
+                true => end_with_error(connection).await,
                 false => Ok(Attempt::Failed(Failure::Broken)),
             };
         }
         checked = true;
-        if !begun {
+        if !response_started {
             connection.begin(incoming.status, &headers).await?;
         }
-        connection.chunk(&whole).await?;
-        if !begun {
-            begun = true;
-            guard.shell.feed(Event::Progress { request: guard.key, progress: Progress::Begun });
+        connection.chunk(&complete).await?;
+        if !response_started {
+            response_started = true;
+            guard.shell.handle(Event::Progress { request: guard.key, progress: Progress::Begun });
         }
     }
 }
 
-/// Ends a stream with the word that it broke off.
-async fn break_off(connection: &mut Connection) -> Result<Attempt, Error> {
-    connection.chunk(&callers::broken_off()).await?;
+/// Ends a caller's stream with an error event.
+async fn end_with_error(connection: &mut Connection) -> Result<Attempt, Error> {
+    connection.chunk(&callers::error_event()).await?;
     connection.finish().await?;
-    Ok(Attempt::BrokenOff)
+    Ok(Attempt::Interrupted)
 }
 
-/// Asks the engine to go on with a stream, and returns it if the engine confirms that it does.
+/// Asks the engine to resume a stream, and returns the resumed stream if the engine confirms it.
 ///
-/// Without its word that it goes on after the last event that arrived, the caller could get a
-/// second beginning.
+/// The engine has to confirm that it continues after the last event that arrived; otherwise the caller
+/// could receive the beginning of the stream a second time.
 async fn resume(
     guard: &Guard,
     connection: &mut Connection,
     broken: &Incoming,
     source: &Source<'_>,
-    events: &Events,
+    events: &EventSplitter,
     resumes: u32,
 ) -> Result<Option<Incoming>, Error> {
     let id = broken.headers.get(STREAM_ID).and_then(|value| value.to_str().ok());
-    let (Some(id), true, true) = (id, source.expected.is_some(), resumes <= RESUMES) else {
+    let (Some(id), true, true) = (id, source.expected.is_some(), resumes <= MAX_RESUMES) else {
         return Ok(None);
     };
     let count = events.count().to_string();
@@ -365,7 +371,7 @@
     let pool = &guard.shell.pool;
     let opened = monoio::select! {
         opened = monoio::time::timeout(RESUME_TIMEOUT, pool.open(source.address, call)) => opened,
-        _ = connection.closed() => return Err(gone(connection)),
+        _ = connection.closed() => return Err(caller_disconnected(connection)),
     };
     let Ok(Ok(incoming)) = opened else { return Ok(None) };
     let after = incoming.headers.get(RESUMED_AFTER).and_then(|value| value.to_str().ok());
@@ -373,32 +379,32 @@
     Ok(confirmed.then_some(incoming))
 }
 
-/// Returns whether the first of some events is by the revision that must answer.
-fn is_by(events: &[u8], expected: Option<&str>) -> bool {
+/// Returns whether the first event was served by the expected revision.
+fn is_served_by(events: &[u8], expected: Option<&str>) -> bool {
     match expected {
         Some(expected) => {
             let data = first_data(events);
-            data == DONE || served_by(data).as_deref() == Some(expected)
+            data == DONE || served_name(data).as_deref() == Some(expected)
         }
         None => true,
     }
 }
 
-/// The data of the event that ends a stream, which names nobody.
+/// The data of the event that ends a stream, which carries no served name.
 const DONE: &[u8] = b"[DONE]";
 
-/// The field of an answer that names who answered.
+/// The field of a response with the served name.
 #[derive(Deserialize)]
 struct Served {
     model: String,
 }
 
-/// Returns the served name that an answer carries.
-fn served_by(body: &[u8]) -> Option<String> {
+/// Returns the served name in the body of a response.
+fn served_name(body: &[u8]) -> Option<String> {
     serde_json::from_slice::<Served>(body).ok().map(|served| served.model)
 }
 
-fn headers_of(incoming: &Incoming, served: Option<&str>) -> HeaderMap {
+fn response_headers(incoming: &Incoming, served: Option<&str>) -> HeaderMap {
     let mut headers = HeaderMap::new();
     for name in [
         header::CONTENT_TYPE,
--- a/crates/orioleroute-node/src/settings.rs
+++ b/crates/orioleroute-node/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings from flags and environment variables, checked at the start.
+//! Settings from flags, environment variables and a settings file, checked at the start.
 
 use std::net::SocketAddr;
 use std::str::FromStr;
@@ -8,11 +8,11 @@
 
 /// What the command line asks for.
 pub enum Outcome {
-    /// Runs with these settings.
+    /// Run with these settings.
     Run(Box<Settings>),
-    /// Prints a text and ends.
+    /// Print a text and exit.
     Print(String),
-    /// Ends with a message.
+    /// Exit with an error message.
     Fail(String),
 }
 
@@ -22,7 +22,7 @@
 pub enum LogFormat {
     /// One JSON object a line.
     Json,
-    /// For a terminal.
+    /// Lines of text for a terminal.
     Text,
 }
 
@@ -49,25 +49,25 @@
     pub objects_address: SocketAddr,
     /// The platform's instance list.
     pub list_address: SocketAddr,
-    /// The token that peers show.
+    /// The bearer token of peers.
     pub peer_token: String,
-    /// The token that operators show.
+    /// The bearer token of operators.
     pub operator_token: String,
     /// The largest request head, in bytes.
     pub head_bytes: usize,
     /// The largest request body, in bytes.
     pub body_bytes: usize,
-    /// The longest wait for a request on an open connection.
+    /// The longest wait for the next request on an open connection.
     pub idle: Duration,
     /// The longest time from the first byte of a head to its end.
     pub head_time: Duration,
-    /// The longest wait for a whole request body.
+    /// The longest wait for a complete request body.
     pub body_time: Duration,
-    /// The longest wait for a caller to take one part of an answer.
+    /// The longest wait for a caller to accept one chunk of a response.
     pub write_time: Duration,
-    /// The connections of callers that are open at a time.
+    /// The maximum number of open connections of callers.
     pub connections: usize,
-    /// How long a caller keeps the answer which instance to use.
+    /// How long a caller may cache the result of a route lookup.
     pub route_life: Duration,
     /// How log lines are written.
     pub log_format: LogFormat,
@@ -83,7 +83,7 @@
     default: Option<&'static str>,
 }
 
-/// Returns a setting; one without a default has to be given.
+/// Returns a setting; one without a default is required.
 pub const fn setting(
     flag: &'static str,
     hint: &'static str,
@@ -105,17 +105,17 @@
     setting("table-name", "NAME", "the table", Some("orioleroute")),
     setting("objects-address", "IP:PORT", "the platform's object store", None),
     setting("list-address", "IP:PORT", "the platform's instance list", None),
-    setting("peer-token", "TEXT", "token that peers show", None),
-    setting("operator-token", "TEXT", "token that operators show", None),
+    setting("peer-token", "TEXT", "bearer token of peers", None),
+    setting("operator-token", "TEXT", "bearer token of operators", None),
     setting("head-bytes", "COUNT", "largest request head", Some("32768")),
     setting("body-bytes", "COUNT", "largest request body", Some("4194304")),
     setting("idle-ms", "MILLISECONDS", "longest wait for the next request", Some("120000")),
-    setting("head-ms", "MILLISECONDS", "longest time of a request head", Some("10000")),
+    setting("head-ms", "MILLISECONDS", "longest time to receive a request head", Some("10000")),
     setting("body-ms", "MILLISECONDS", "longest wait for a request body", Some("10000")),
     setting("write-ms", "MILLISECONDS", "longest wait for a slow reader", Some("30000")),
-    setting("connections", "COUNT", "open connections of callers", Some("10000")),
-    setting("route-life-ms", "MILLISECONDS", "how long callers keep a route", Some("5000")),
-    setting("log-format", "json|text", "form of log lines", Some("json")),
+    setting("connections", "COUNT", "maximum number of open connections of callers", Some("10000")),
+    setting("route-life-ms", "MILLISECONDS", "how long callers may cache a route", Some("5000")),
+    setting("log-format", "json|text", "format of log lines", Some("json")),
     setting("log-level", "LEVEL", "least severe level that is logged", Some("info")),
 ];
 
@@ -141,12 +141,12 @@
     }
 }
 
-/// Returns whether the process is to run on a platform that keeps the configuration.
+/// Returns whether the flags or the environment select the platform backend.
 pub fn is_on_platform() -> bool {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let flag = arguments.iter().position(|argument| argument == "--backend");
     let given = flag.and_then(|index| arguments.get(index + 1)).cloned();
-    let backend = given.or_else(|| std::env::var(variable("backend")).ok());
+    let backend = given.or_else(|| std::env::var(variable_name("backend")).ok());
     backend.as_deref() == Some("platform")
 }
 
@@ -155,7 +155,7 @@
     for setting in settings {
         options.optopt("", setting.flag, setting.help, setting.hint);
     }
-    options.optflag("", "print-settings", "print the settings in force and end");
+    options.optflag("", "print-settings", "print the effective settings and exit");
     options.optflag("h", "help", "print this help");
     options.optflag("V", "version", "print the version");
     options
@@ -164,17 +164,17 @@
 fn usage(settings: &[Setting]) -> String {
     let brief = "Usage: orioleroute-node [options]\n\n\
         Every option can also be given as an environment variable: --caller-address as\n\
-        ORIOLEROUTE_CALLER_ADDRESS, and so on. A flag goes before a variable.";
+        ORIOLEROUTE_CALLER_ADDRESS, and so on. A flag overrides a variable.";
     options(settings).usage(brief)
 }
 
-/// Where values come from, and the faults found in them.
+/// The sources of the values, and the errors found in them.
 pub struct Source {
     settings: &'static [Setting],
     matches: Matches,
-    /// The lines of the file that the setting `config` names.
-    file: Vec<(String, String)>,
-    /// What is wrong with the values.
+    /// The names and values from the file that the setting `config` names.
+    file_values: Vec<(String, String)>,
+    /// The error messages so far, one for each wrong or missing value.
     pub faults: Vec<String>,
 }
 
@@ -183,7 +183,8 @@
     ///
     /// # Errors
     ///
-    /// Fails with what to print if the flags or the file cannot be read or ask for help.
+    /// Fails with [`Outcome::Fail`] if the flags or the file cannot be read, and with [`Outcome::Print`]
+    /// if the flags ask for the help or the version.
     pub fn read(settings: &'static [Setting], arguments: &[String]) -> Result<Self, Outcome> {
         let fail = |message: String| Err(Outcome::Fail(format!("orioleroute-node: {message}")));
         let matches = match options(settings).parse(arguments) {
@@ -200,7 +201,7 @@
         if let Some(extra) = matches.free.first() {
             return fail(format!("unexpected argument {extra:?}"));
         }
-        let mut source = Self { settings, matches, file: Vec::new(), faults: Vec::new() };
+        let mut source = Self { settings, matches, file_values: Vec::new(), faults: Vec::new() };
         let config = settings.iter().find(|setting| setting.flag == "config");
         if let Some(path) = config.and_then(|config| source.text(config)) {
             match std::fs::read_to_string(&path) {
@@ -211,28 +212,28 @@
         Ok(source)
     }
 
-    /// Returns whether the settings are to be printed.
+    /// Returns whether the flag `--print-settings` is given.
     pub fn asks_to_print(&self) -> bool {
         self.matches.opt_present("print-settings")
     }
 
-    /// Takes lines of the form `NAME = VALUE`; empty lines and those that begin with `#` say nothing.
+    /// Reads lines of the form `NAME = VALUE`; empty lines and those that begin with `#` are ignored.
     fn read_file(&mut self, path: &str, text: &str) {
         for (index, line) in text.lines().enumerate() {
             let line = line.trim();
             if line.is_empty() || line.starts_with('#') {
                 continue;
             }
-            let place = format!("orioleroute-node: {path}, line {}", index + 1);
+            let location = format!("orioleroute-node: {path}, line {}", index + 1);
             match line.split_once('=') {
                 Some((name, value)) => {
                     let name = name.trim();
                     if !self.settings.iter().any(|setting| setting.flag == name) {
-                        self.faults.push(format!("{place}: there is no setting {name:?}"));
+                        self.faults.push(format!("{location}: unknown setting {name:?}"));
                     }
-                    self.file.push((name.to_owned(), value.trim().to_owned()));
+                    self.file_values.push((name.to_owned(), value.trim().to_owned()));
                 }
-                None => self.faults.push(format!("{place}: not of the form NAME = VALUE")),
+                None => self.faults.push(format!("{location}: expected NAME = VALUE")),
             }
         }
     }
@@ -289,18 +290,18 @@
     fn text(&self, setting: &Setting) -> Option<String> {
         self.matches
             .opt_str(setting.flag)
-            .or_else(|| std::env::var(variable(setting.flag)).ok())
+            .or_else(|| std::env::var(variable_name(setting.flag)).ok())
             .or_else(|| {
-                let mut lines = self.file.iter().filter(|(name, _)| name == setting.flag);
+                let mut lines = self.file_values.iter().filter(|(name, _)| name == setting.flag);
                 lines.next_back().map(|(_, value)| value.clone())
             })
             .or_else(|| setting.default.map(str::to_owned))
     }
 
-    /// Returns a value, or takes note of what is wrong with it.
+    /// Returns the value of a setting, or records an error if it is missing or invalid.
     pub fn value<T: FromStr>(&mut self, flag: &str) -> Option<T> {
         let setting = self.settings.iter().find(|setting| setting.flag == flag)?;
-        let variable = variable(flag);
+        let variable = variable_name(flag);
         let Some(text) = self.text(setting) else {
             self.faults.push(format!(
                 "orioleroute-node: --{flag} or {variable} is missing: {}",
@@ -308,39 +309,39 @@
             ));
             return None;
         };
-        let value = if is_empty_value(&text) { None } else { text.parse().ok() };
+        let value = if is_empty_or_zero(&text) { None } else { text.parse().ok() };
         if value.is_none() {
             let hint = setting.hint;
             self.faults.push(format!(
-                "orioleroute-node: --{flag} or {variable} is {text:?}, allowed is {hint}, neither empty nor 0"
+                "orioleroute-node: --{flag} or {variable} is {text:?}, expected {hint}, neither empty nor 0"
             ));
         }
         value
     }
 
-    /// Returns a time in milliseconds.
+    /// Returns the value of a setting that is given in milliseconds.
     pub fn millis(&mut self, flag: &str) -> Option<Duration> {
         self.value(flag).map(Duration::from_millis)
     }
 
-    /// Returns all settings, one a line, without the secret ones.
+    /// Returns all settings, one a line, with tokens redacted.
     pub fn print(&self) -> String {
         let lines = self.settings.iter().map(|setting| {
-            let secret = setting.flag.ends_with("-token");
+            let is_secret = setting.flag.ends_with("-token");
             let text = self.text(setting).unwrap_or_default();
-            let shown = if secret { "(secret)" } else { &text };
+            let shown = if is_secret { "(secret)" } else { &text };
             format!("{} = {shown}", setting.flag)
         });
         lines.collect::<Vec<_>>().join("\n")
     }
 }
 
-/// Returns whether a text is empty or zero, which no setting allows: a limit of 0 would shut everybody
-/// out, and an empty token would let everybody in.
-fn is_empty_value(text: &str) -> bool {
+/// Returns whether a text is empty or zero, which no setting allows: a limit of 0 would reject every
+/// request, and an empty token would authorize everybody.
+fn is_empty_or_zero(text: &str) -> bool {
     text.is_empty() || text.bytes().all(|byte| byte == b'0')
 }
 
-fn variable(flag: &str) -> String {
+fn variable_name(flag: &str) -> String {
     format!("ORIOLEROUTE_{}", flag.to_uppercase().replace('-', "_"))
 }
--- a/crates/orioleroute-node/src/shell.rs
+++ b/crates/orioleroute-node/src/shell.rs
@@ -1,4 +1,4 @@
-//! The core with its surroundings: events go in, effects are carried out.
+//! The I/O around the core: passes events to the core and applies the effects that it returns.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -23,10 +23,10 @@
 use crate::settings::Settings;
 use crate::{engines, log, platform};
 
-/// The longest wait for a peer to take a message.
+/// The longest wait for a peer to acknowledge a message.
 const PEER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// The steps of one request, as the core decides them.
+/// The receiver of the steps of one request, as the core decides them.
 pub type Steps = mpsc::unbounded::Rx<Step>;
 
 /// One instance at run time.
@@ -42,9 +42,9 @@
     core: RefCell<Core>,
     started: Clock,
     steps: RefCell<HashMap<key::Request, mpsc::unbounded::Tx<Step>>>,
-    names: RefCell<HashMap<key::Request, Arc<str>>>,
-    answers: RefCell<HashMap<Ticket, oneshot::Sender<Answer>>>,
-    next_command: Cell<u64>,
+    request_names: RefCell<HashMap<key::Request, Arc<str>>>,
+    pending_commands: RefCell<HashMap<Ticket, oneshot::Sender<Answer>>>,
+    last_command: Cell<u64>,
 }
 
 impl Shell {
@@ -65,7 +65,7 @@
             peer_address,
             operator_address,
         };
-        let log = log::logger(&settings);
+        let log = log::to_stderr(&settings);
         Self {
             settings,
             pool: Pool::new(),
@@ -74,13 +74,14 @@
             core: RefCell::new(Core::new(identity)),
             started: Clock::now(),
             steps: RefCell::default(),
-            names: RefCell::default(),
-            answers: RefCell::default(),
-            next_command: Cell::new(0),
+            request_names: RefCell::default(),
+            pending_commands: RefCell::default(),
+            last_command: Cell::new(0),
         }
     }
 
-    /// Prints the addresses on which this instance listens, for whoever started it.
+    /// Logs the listening addresses and prints them on standard output, where the process that started
+    /// this instance reads them.
     pub fn announce(&self) {
         let core = self.core.borrow();
         let identity = core.membership().identity();
@@ -99,22 +100,22 @@
         Instant::from_micros(self.started.elapsed().as_micros() as u64)
     }
 
-    /// Reads from the core.
+    /// Calls a function with the core's current state.
     pub fn read<T>(&self, read: impl FnOnce(&Core) -> T) -> T {
         read(&self.core.borrow())
     }
 
-    /// Gives the core an event and carries out the effects.
-    pub fn feed(self: &Rc<Self>, event: Event) {
-        self.meter.take_event(&event);
+    /// Passes an event to the core and applies the effects that it returns.
+    pub fn handle(self: &Rc<Self>, event: Event) {
+        self.meter.observe_event(&event);
         let effects = self.core.borrow_mut().handle(self.now(), event);
         for effect in effects {
-            self.meter.take_effect(&effect);
-            self.carry_out(effect);
+            self.meter.observe_effect(&effect);
+            self.apply(effect);
         }
     }
 
-    /// Admits a request, and returns its key and the steps that the core will decide.
+    /// Admits a request and returns its key and the receiver of its steps.
     pub fn admit(&self) -> (key::Request, Steps) {
         let key = self.core.borrow_mut().admit();
         let (sender, steps) = mpsc::unbounded::channel();
@@ -122,54 +123,55 @@
         (key, steps)
     }
 
-    /// Names an admitted request in the log as its caller named it.
+    /// Sets the name that the caller gave an admitted request, under which it is logged.
     pub fn name_request(&self, key: key::Request, name: &str) {
-        self.names.borrow_mut().insert(key, name.into());
+        self.request_names.borrow_mut().insert(key, name.into());
     }
 
-    /// Forgets a request that has had its final answer.
-    pub fn forget(&self, key: key::Request) {
+    /// Removes a request that has had its final response.
+    pub fn remove_request(&self, key: key::Request) {
         self.steps.borrow_mut().remove(&key);
-        self.names.borrow_mut().remove(&key);
+        self.request_names.borrow_mut().remove(&key);
     }
 
-    /// Gives the core an operator's command and waits for the answer.
+    /// Passes an operator's command to the core and waits for the answer.
     pub async fn command(self: &Rc<Self>, command: Command) -> Option<Answer> {
-        let ticket = Ticket(self.next_command.get() + 1);
-        self.next_command.set(ticket.0);
+        let ticket = Ticket(self.last_command.get() + 1);
+        self.last_command.set(ticket.0);
         let (sender, answer) = oneshot::channel();
-        self.answers.borrow_mut().insert(ticket, sender);
-        self.feed(Event::Command { ticket, command });
+        self.pending_commands.borrow_mut().insert(ticket, sender);
+        self.handle(Event::Command { ticket, command });
         answer.await.ok()
     }
 
-    /// Lets the core's time pass until the instance has left and has no request.
+    /// Ticks the core until the instance has left the membership and has no request in flight.
     pub async fn tick_until_done(self: &Rc<Self>) {
         while !self.core.borrow().is_done() {
-            self.feed(Event::Tick);
+            self.handle(Event::Tick);
             monoio::time::sleep(TICK / 2).await;
         }
         info!(self.log, "left");
     }
 
-    fn carry_out(self: &Rc<Self>, effect: Effect) {
+    fn apply(self: &Rc<Self>, effect: Effect) {
         match effect {
             Effect::Send { to, address, message } => {
                 let shell = self.clone();
                 monoio::spawn(async move { shell.send(to, address, message).await });
             }
             Effect::Table { ticket, operation } => {
-                monoio::spawn(platform::table(self.clone(), ticket, operation));
+                monoio::spawn(platform::run_table_operation(self.clone(), ticket, operation));
             }
             Effect::Put { ticket, key, value } => {
-                monoio::spawn(platform::put(self.clone(), ticket, key, value));
+                monoio::spawn(platform::write_object(self.clone(), ticket, key, value));
             }
             Effect::Get { ticket, key } => {
-                monoio::spawn(platform::get(self.clone(), ticket, key));
+                monoio::spawn(platform::read_object(self.clone(), ticket, key));
             }
             Effect::Order { ticket, upstream, address, order, fencing } => {
-                let given = engines::order(self.clone(), ticket, upstream, address, order, fencing);
-                monoio::spawn(given);
+                let sending =
+                    engines::send_order(self.clone(), ticket, upstream, address, order, fencing);
+                monoio::spawn(sending);
             }
             Effect::Probe { upstream, address } => {
                 monoio::spawn(engines::probe(self.clone(), upstream, address));
@@ -180,7 +182,7 @@
                 }
             }
             Effect::Answer { ticket, answer } => {
-                if let Some(sender) = self.answers.borrow_mut().remove(&ticket) {
+                if let Some(sender) = self.pending_commands.borrow_mut().remove(&ticket) {
                     let _ = sender.send(answer);
                 }
             }
@@ -196,15 +198,16 @@
     ) {
         let token = &self.settings.peer_token;
         let name = &self.settings.name;
-        let sent = rpc::notify(&self.pool, address, token, name, &message, PEER_TIMEOUT).await;
-        if let Err(error) = sent {
-            debug!(self.log, "message lost"; "peer" => &*to, "error" => error.to_string());
+        let result = rpc::notify(&self.pool, address, token, name, &message, PEER_TIMEOUT).await;
+        if let Err(error) = result {
+            debug!(self.log, "sending message to peer failed"; "peer" => &*to,
+                "error" => error.to_string());
         }
     }
 
-    /// Returns the name that the caller gave a request, or else one of this instance.
+    /// Returns the name that the caller gave a request, or its key if the caller gave none.
     fn request_name(&self, key: key::Request) -> String {
-        let names = self.names.borrow();
+        let names = self.request_names.borrow();
         names.get(&key).map_or_else(|| format!("{key:?}"), ToString::to_string)
     }
 
@@ -213,7 +216,7 @@
             Some((adapter, version)) => (adapter.to_owned(), Some(version.to_owned())),
             None => (decision.name.to_string(), None),
         };
-        let line = o!(
+        let fields = o!(
             "request" => decision.request.map(|key| self.request_name(key)),
             "adapter" => adapter,
             "version" => version,
@@ -222,8 +225,8 @@
             "runners_up" => decision.runners_up.join(","),
         );
         match decision.reason {
-            Reason::Refused => warn!(self.log, "decision"; line),
-            _ => info!(self.log, "decision"; line),
+            Reason::Refused => warn!(self.log, "decision"; fields),
+            _ => info!(self.log, "decision"; fields),
         }
     }
 }
--- a/crates/orioleroute-node/src/signals.rs
+++ b/crates/orioleroute-node/src/signals.rs
@@ -1,4 +1,4 @@
-//! Termination signals, as a graceful shutdown.
+//! Graceful shutdown at a termination signal.
 
 use std::future::Future;
 use std::io::Result;
@@ -28,7 +28,7 @@
         let (read, _) = receiver.read(vec![0_u8; 1]).await;
         if read.is_ok() {
             info!(shell.log, "leaving"; "reason" => "signal");
-            shell.feed(Event::Shutdown);
+            shell.handle(Event::Shutdown);
         }
     })
 }
--- a/crates/orioleroute-node/tests/bad_input.rs
+++ b/crates/orioleroute-node/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input on the three listeners: each gets a clear answer and holds nothing else up.
+//! Bad input on the three listeners: it is answered with a clear error and delays no other request.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -9,7 +9,7 @@
 use standins::process::Process;
 use standins::system::{self, OPERATOR_TOKEN, PEER_TOKEN, node};
 
-/// The longest wait for an answer; the limits of [`start`] are well below it.
+/// The longest wait for an answer; the limits set in [`start`] are well below it.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
 fn start() -> Process {
@@ -33,15 +33,15 @@
     stream
 }
 
-/// Sends bytes and returns what comes back until the node closes the connection.
+/// Sends bytes and returns what the node sends until it closes the connection.
 fn exchange(node: &Process, listener: &str, bytes: &[u8]) -> String {
     let mut stream = connect(node, listener);
-    // The node may answer and close before it has taken everything.
+    // The node may answer and close the connection before it has read everything.
     let _ = stream.write_all(bytes);
     read_all(&mut stream)
 }
 
-/// Reads to the end; a connection that is cut leaves what came before.
+/// Returns everything received until the connection is closed or fails.
 fn read_all(stream: &mut TcpStream) -> String {
     let mut answer = Vec::new();
     let mut buffer = [0_u8; 4096];
@@ -83,7 +83,7 @@
     [head, body].concat()
 }
 
-/// A chunk that is larger than the limit, of which the whole length is sent.
+/// Returns a chunk larger than the body limit, with all its bytes.
 fn large_chunk() -> Vec<u8> {
     [b"100000\r\n".as_slice(), &[b'x'; 0x10_0000], b"\r\n0\r\n\r\n"].concat()
 }
@@ -116,7 +116,7 @@
 #[case::broken_chunk(chunked(b"zz\r\nhello\r\n"), 400)]
 #[case::huge_chunk(chunked(b"ffffffffffffffffff\r\nhello\r\n"), 400)]
 #[case::no_chunk_end(chunked(b"5\r\nhelloXX0\r\n\r\n"), 400)]
-fn malformed_requests_are_told_so(#[case] bytes: Vec<u8>, #[case] status: u16) {
+fn malformed_requests_get_an_error(#[case] bytes: Vec<u8>, #[case] status: u16) {
     let node = start();
     let answer = exchange(&node, "callers", &bytes);
     assert_eq!(status_of(&answer), status, "{answer:?}");
@@ -132,7 +132,7 @@
 #[case::no_model(br#"{"stream": true}"#.to_vec(), 400)]
 #[case::wrong_flag(br#"{"model": "milk", "stream": "yes"}"#.to_vec(), 400)]
 #[case::deep([b"[".repeat(20_000), b"]".repeat(20_000)].concat(), 400)]
-fn meaningless_bodies_are_told_so(#[case] body: Vec<u8>, #[case] status: u16) {
+fn invalid_bodies_get_an_error(#[case] body: Vec<u8>, #[case] status: u16) {
     let node = start();
     let answer = exchange(&node, "callers", &post("/v1/completions", "", &body));
     assert_eq!(status_of(&answer), status, "{answer:?}");
@@ -145,7 +145,7 @@
 #[case::deadline("/v1/completions", "x-deadline-ms: soon\r\n")]
 #[case::service_importance("/services/bookings/enrol", "x-importance: urgent\r\n")]
 #[case::service_deadline("/services/bookings/enrol", "x-deadline-ms: -5\r\n")]
-fn wrong_header_fields_are_told_so(#[case] path: &str, #[case] field: &str) {
+fn invalid_header_fields_get_an_error(#[case] path: &str, #[case] field: &str) {
     let node = start();
     let answer = exchange(&node, "callers", &post(path, field, br#"{"model": "milk"}"#));
     assert_eq!(status_of(&answer), 400, "{answer:?}");
@@ -156,25 +156,25 @@
 #[case::head(b"GET /v1/models HTTP/1.1\r\nx-field: ")]
 #[case::body(b"POST /v1/completions HTTP/1.1\r\ncontent-length: 1000\r\n\r\n")]
 #[case::chunk(b"POST /v1/completions HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n3e8\r\n")]
-fn slow_senders_are_cut_off_and_hold_nobody_up(#[case] start_of_request: &[u8]) {
+fn slow_senders_time_out_and_delay_no_other_request(#[case] start_of_request: &[u8]) {
     let node = start();
     let mut stream = connect(&node, "callers");
-    let begun = Instant::now();
+    let start_time = Instant::now();
     stream.write_all(start_of_request).expect("the node reads");
-    let mut dribbler = stream.try_clone().expect("a socket can be shared");
-    let dribble = std::thread::spawn(move || {
-        while begun.elapsed() < TIMEOUT && dribbler.write_all(b"a").is_ok() {
+    let mut slow_sender = stream.try_clone().expect("a socket can be shared");
+    let sending = std::thread::spawn(move || {
+        while start_time.elapsed() < TIMEOUT && slow_sender.write_all(b"a").is_ok() {
             std::thread::sleep(Duration::from_millis(50));
         }
     });
-    let asked = Instant::now();
+    let probe_start = Instant::now();
     assert!(is_live(&node));
-    assert!(asked.elapsed() < Duration::from_millis(500), "another request was held up");
+    assert!(probe_start.elapsed() < Duration::from_millis(500), "another request was delayed");
     let answer = read_all(&mut stream);
     let _ = stream.shutdown(Shutdown::Both);
-    dribble.join().expect("it ends");
+    sending.join().expect("it ends");
     assert_eq!(status_of(&answer), 408, "{answer:?}");
-    assert!(begun.elapsed() < Duration::from_secs(3), "took {:?}", begun.elapsed());
+    assert!(start_time.elapsed() < Duration::from_secs(3), "took {:?}", start_time.elapsed());
 }
 
 #[test]
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn too_many_connections_are_told_so_and_places_come_back() {
+fn excess_connections_get_an_error_until_others_close() {
     let node = start();
     let idle: Vec<TcpStream> = (0..8).map(|_| connect(&node, "callers")).collect();
     std::thread::sleep(Duration::from_millis(100));
@@ -207,7 +207,7 @@
 #[case::peer_token("operators", "/command", "authorization: Bearer peer-secret\r\n", 401)]
 #[case::missing_peer("peers", "/rpc", "", 401)]
 #[case::operator_token("peers", "/rpc", "authorization: Bearer operator-secret\r\n", 401)]
-fn strangers_are_refused_before_their_body_is_read(
+fn unauthorized_requests_are_refused_before_their_body_is_read(
     #[case] listener: &str,
     #[case] path: &str,
     #[case] field: &str,
@@ -236,7 +236,7 @@
 )]
 #[case::no_parameters("peers", "/rpc", PEER_TOKEN, r#"{"jsonrpc": "2.0", "method": "heartbeat"}"#)]
 #[case::not_json("peers", "/rpc", PEER_TOKEN, "\u{0}")]
-fn unknown_messages_are_told_so(
+fn unknown_messages_get_an_error(
     #[case] listener: &str,
     #[case] path: &str,
     #[case] token: &str,
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn messages_without_a_sender_are_told_so() {
+fn messages_without_a_sender_get_an_error() {
     let node = start();
     let field = format!("authorization: Bearer {PEER_TOKEN}\r\n");
     let answer = exchange(&node, "peers", &post("/rpc", &field, b"{}"));
--- a/crates/orioleroute-node/tests/events.rs
+++ b/crates/orioleroute-node/tests/events.rs
@@ -1,10 +1,10 @@
-//! Server-sent events cut out of a stream.
+//! Splitting streams of server-sent events.
 
 #[path = "../src/events.rs"]
 mod events;
 
 use bytes::Bytes;
-use events::{Events, first_data};
+use events::{EventSplitter, first_data};
 use rstest::rstest;
 
 #[rstest]
@@ -14,12 +14,12 @@
 #[case::carriage_returns(&["data: a\r\n\r\nda"], &["data: a\r\n\r\n"], 1)]
 #[case::data_within_data(&["data: the data: b\n\n"], &["data: the data: b\n\n"], 1)]
 #[case::comment(&[": wait\n\n"], &[": wait\n\n"], 0)]
-fn only_whole_events_are_passed_on(
+fn only_complete_events_are_passed_on(
     #[case] parts: &[&'static str],
     #[case] expected: &[&str],
     #[case] count: u64,
 ) {
-    let mut events = Events::default();
+    let mut events = EventSplitter::default();
 
     let passed: Vec<Bytes> =
         parts.iter().map(|part| events.push(Bytes::from_static(part.as_bytes()))).collect();
@@ -29,8 +29,8 @@
 }
 
 #[test]
-fn a_discarded_part_does_not_come_back() {
-    let mut events = Events::default();
+fn a_discarded_partial_event_is_not_returned() {
+    let mut events = EventSplitter::default();
     events.push(Bytes::from_static(b"data: a\n\ndata: b"));
 
     events.discard();
@@ -40,6 +40,6 @@
 }
 
 #[test]
-fn the_first_event_has_its_data_alone() {
+fn first_data_excludes_later_events() {
     assert_eq!(first_data(b"data: a\n\ndata: b\n\n"), b"a");
 }
--- a/crates/orioleroute-node/tests/faults.rs
+++ b/crates/orioleroute-node/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of real processes, with the promises checked from the callers' side.
+//! Faults of real processes; the guarantees to callers are checked from the callers' side.
 
 mod support;
 
@@ -13,11 +13,12 @@
 use standins::system::{self, set_faults, until};
 use standins::{engine, platform, service};
 use support::{
-    System, book, complete, complete_within, hang_up_early, is_by, ran, receive, send, stream,
+    System, book, complete, complete_within, disconnect_early, is_served_by, ran, receive, send,
+    stream,
 };
 
-/// How long a caller waits for a refusal that is given at once.
-const AT_ONCE: Duration = Duration::from_millis(500);
+/// The longest time that an immediate refusal may take.
+const IMMEDIATE: Duration = Duration::from_millis(500);
 
 #[test]
 fn a_killed_node_is_succeeded_and_its_streams_are_told() {
@@ -31,18 +32,18 @@
     let killed = Instant::now();
 
     let forwarded = through_other.join().expect("it was read");
-    assert!(forwarded.says_broken(), "{} {:?}", forwarded.text, forwarded.error);
+    assert!(forwarded.ends_with_error(), "{} {:?}", forwarded.text, forwarded.error);
     assert!(direct.join().expect("it was read").error.is_some());
     let addresses = [system.callers(others[0]), system.callers(others[1])];
     until("a successor answers", || {
-        is_by(complete(addresses[0], "milk", "after").as_ref(), "milk@v1")
+        is_served_by(complete(addresses[0], "milk", "after").as_ref(), "milk@v1")
     });
     println!("figure: {:?} from the kill to the first answer", killed.elapsed());
-    until("so does the other", || {
-        is_by(complete(addresses[1], "milk", "after").as_ref(), "milk@v1")
+    until("the other node answers too", || {
+        is_served_by(complete(addresses[1], "milk", "after").as_ref(), "milk@v1")
     });
     system.nodes.remove(home);
-    system.until_members(2);
+    system.wait_for_members(2);
     system.assert_nothing_evicted_in_use();
 }
 
@@ -58,29 +59,30 @@
 
     system.nodes[home].signal(Signal::SIGSTOP).expect("it runs");
     let again = book(system.callers(other), "frozen").expect("it answers");
-    until("it is removed", || {
+    until("the paused node is removed", || {
         system::status(&system.nodes[other]).is_some_and(|status| status.instances.len() == 2)
     });
     system.submit(other, 1, "v2");
-    until("the others answer", || {
-        is_by(complete(system.callers(other), "milk", "meanwhile").as_ref(), "milk@v2")
+    until("the other nodes answer", || {
+        is_served_by(complete(system.callers(other), "milk", "meanwhile").as_ref(), "milk@v2")
     });
     let running = stream(system.callers(other), "milk", 300);
-    // These are there before the node has run a line of its own.
-    let asked: Vec<TcpStream> = (0..8).map(|_| send(address, "milk")).collect();
+    // Sent while the node is paused, so that it finds these requests as soon as it resumes, with the old
+    // configuration still active.
+    let sockets: Vec<TcpStream> = (0..8).map(|_| send(address, "milk")).collect();
     system.nodes[home].signal(Signal::SIGCONT).expect("it is stopped");
 
-    for woken in asked.into_iter().map(receive) {
-        assert!(!woken.contains("milk@v1"), "it answered by the old configuration: {woken}");
+    for answer in sockets.into_iter().map(receive) {
+        assert!(!answer.contains("milk@v1"), "it used the old configuration: {answer}");
     }
     assert_eq!(again.status, StatusCode::CONFLICT);
     assert_eq!(ran(&again), Some("may-have-run"));
     let first = booking.join().expect("it was asked").expect("it was answered");
     assert_eq!(first.status, StatusCode::OK);
-    assert!(running.join().expect("it was read").is_whole(300));
-    system.until_members(3);
-    until("it answers by the new configuration", || {
-        is_by(complete(address, "milk", "later").as_ref(), "milk@v2")
+    assert!(running.join().expect("it was read").is_complete(300));
+    system.wait_for_members(3);
+    until("it uses the new configuration", || {
+        is_served_by(complete(address, "milk", "later").as_ref(), "milk@v2")
     });
     assert_eq!(system.runs("frozen"), 1);
     system.assert_nothing_evicted_in_use();
@@ -97,11 +99,11 @@
     assert!(link.cut() > 0);
 
     let cut = cut.join().expect("it was read");
-    assert!(cut.is_whole(300), "{} {:?}", cut.text, cut.error);
-    until("an answer comes over new connections", || {
-        is_by(complete(address, "milk", "after").as_ref(), "milk@v1")
+    assert!(cut.is_complete(300), "{} {:?}", cut.text, cut.error);
+    until("a new connection answers", || {
+        is_served_by(complete(address, "milk", "after").as_ref(), "milk@v1")
     });
-    until("nothing runs on unread", || {
+    until("the engine has ended every run", || {
         let history = system.history();
         let ends = history.iter().filter(|entry| entry["event"] == "end").count();
         let begins = ["begin", "resume"];
@@ -114,17 +116,17 @@
 fn a_long_outage_of_the_table_stops_only_calls_that_may_run_once() {
     let system = System::start(3);
     let address = system.callers(0);
-    assert!(is_by(complete(address, "milk@v1", "before").as_ref(), "milk@v1"));
+    assert!(is_served_by(complete(address, "milk@v1", "before").as_ref(), "milk@v1"));
     set_faults(system.platform, &platform::Faults { table_down: true, ..Default::default() });
-    let begun = Instant::now();
+    let outage_start = Instant::now();
     let mut answers = 0;
 
-    // Three leases, so that none that the table confirmed is left.
-    until("three leases pass", || {
+    // After three lease periods, every lease that the table confirmed has expired.
+    until("three lease periods have passed", || {
         let answer = complete(address, "milk@v1", "meanwhile");
-        assert!(is_by(answer.as_ref(), "milk@v1"), "{answer:?}");
+        assert!(is_served_by(answer.as_ref(), "milk@v1"), "{answer:?}");
         answers += 1;
-        begun.elapsed() > Duration::from_secs(9)
+        outage_start.elapsed() > Duration::from_secs(9)
     });
     let cold = complete(address, "milk@v2", "cold");
     let asked = Instant::now();
@@ -132,12 +134,12 @@
     let waited = asked.elapsed();
 
     assert!(answers > 10);
-    assert!(is_by(cold.as_ref(), "milk@v2"), "{cold:?}");
+    assert!(is_served_by(cold.as_ref(), "milk@v2"), "{cold:?}");
     assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(ran(&refused), Some("not-run"));
     assert!(refused.headers.contains_key("retry-after"));
     assert_eq!(system.runs("outage"), 0);
-    assert!(waited < AT_ONCE, "{waited:?}");
+    assert!(waited < IMMEDIATE, "{waited:?}");
     set_faults(system.platform, &platform::Faults::default());
     until("the booking runs", || {
         book(address, "outage").is_some_and(|answer| answer.status == StatusCode::OK)
@@ -173,13 +175,13 @@
     let engines = [system::engine(engine::Settings::default())];
     let system = System::with_engines(2, &engines, &engines);
     let address = system.callers(0);
-    assert!(is_by(complete(address, "milk", "before").as_ref(), "milk@v1"));
+    assert!(is_served_by(complete(address, "milk", "before").as_ref(), "milk@v1"));
 
     set_faults(engines[0], &engine::Faults { restart: true, ..Default::default() });
     let answer = complete(address, "milk", "after");
 
-    assert!(is_by(answer.as_ref(), "milk@v1"), "{answer:?}");
-    assert_eq!(system.begins("after"), 1);
+    assert!(is_served_by(answer.as_ref(), "milk@v1"), "{answer:?}");
+    assert_eq!(system.starts("after"), 1);
 }
 
 #[rstest]
@@ -194,9 +196,9 @@
 
     let broken = stream(system.callers(home), "milk", 50).join().expect("it was read");
 
-    assert!(broken.says_broken(), "{} {:?}", broken.text, broken.error);
+    assert!(broken.ends_with_error(), "{} {:?}", broken.text, broken.error);
     assert_eq!(broken.text.matches("w0 ").count(), 1);
-    // Nothing of it is left that a shutdown would wait for.
+    // The shutdown would wait for the request if it were still in flight.
     system.nodes[home].signal(Signal::SIGTERM).expect("it runs");
     assert!(system.nodes[home].wait(Duration::from_secs(10)).is_ok_and(|ended| ended.success()));
 }
@@ -211,7 +213,7 @@
     link.stall();
 
     let stalled = stalled.join().expect("it was read");
-    assert!(stalled.is_whole(300), "{} {:?}", stalled.text, stalled.error);
+    assert!(stalled.is_complete(300), "{} {:?}", stalled.text, stalled.error);
 }
 
 #[test]
@@ -228,30 +230,32 @@
 
     for stream in streams {
         let stream = stream.join().expect("it was read");
-        assert!(stream.is_whole(300), "{} {:?}", stream.text, stream.error);
+        assert!(stream.is_complete(300), "{} {:?}", stream.text, stream.error);
     }
     let ended = system.nodes[leaving].wait(Duration::from_secs(10)).expect("it ends");
     assert!(ended.success());
     system.nodes.remove(leaving);
-    system.until_members(2);
+    system.wait_for_members(2);
     let address = system.callers(1);
-    until("the new node answers", || is_by(complete(address, "milk", "after").as_ref(), "milk@v1"));
+    until("the new node answers", || {
+        is_served_by(complete(address, "milk", "after").as_ref(), "milk@v1")
+    });
     system.assert_nothing_evicted_in_use();
 }
 
 #[test]
-fn a_late_answer_is_given_to_nobody_else() {
+fn a_late_answer_reaches_no_other_caller() {
     let engines = [system::engine(engine::Settings::default())];
     let system = System::with_engines(2, &engines, &engines);
     let address = system.callers(system.home(0, "milk"));
     for model in ["milk@v1", "milk@v2"] {
-        assert!(is_by(complete(address, model, "before").as_ref(), model));
+        assert!(is_served_by(complete(address, model, "before").as_ref(), model));
     }
     set_faults(engines[0], &engine::Faults { delay_ms: 1_000, ..Default::default() });
     let late = complete_within(address, "milk@v1", Duration::from_millis(300));
     set_faults(engines[0], &engine::Faults::default());
 
-    // These run while the late answer arrives.
+    // These requests run while the late answer arrives.
     let answers: Vec<_> = (0..40)
         .map(|index| if index % 2 == 0 { "milk@v1" } else { "milk@v2" })
         .map(|model| (model, complete(address, model, "other")))
@@ -261,23 +265,24 @@
     assert!(late.status.is_server_error(), "{}", late.status);
     assert_eq!(ran(&late), Some("may-have-run"));
     for (model, answer) in answers {
-        assert!(is_by(answer.as_ref(), model), "{model}: {answer:?}");
+        assert!(is_served_by(answer.as_ref(), model), "{model}: {answer:?}");
     }
-    assert_eq!(system.begins("other"), 40);
+    assert_eq!(system.starts("other"), 40);
 }
 
 #[rstest]
 #[case::at_its_home(true)]
 #[case::through_another_node(false)]
-fn a_caller_that_hangs_up_cancels_its_work(#[case] at_home: bool) {
+fn a_caller_that_disconnects_cancels_its_request(#[case] at_home: bool) {
     let system = System::start(2);
     let home = system.home(0, "milk");
     let asked = if at_home { home } else { 1 - home };
 
-    hang_up_early(system.callers(asked), "milk", 1_000);
+    disconnect_early(system.callers(asked), "milk", 1_000);
 
-    let ended =
-        until("the work ends", || system.history().iter().any(|entry| entry["event"] == "end"));
+    let ended = until("the engine ends the request", || {
+        system.history().iter().any(|entry| entry["event"] == "end")
+    });
     // The whole stream would last ten seconds.
     assert!(ended < Duration::from_secs(3), "{ended:?}");
 }
@@ -286,7 +291,7 @@
 fn a_node_uses_no_io_uring_and_starts_no_process() {
     let system = System::start(2);
     let address = system.callers(0);
-    assert!(is_by(complete(address, "milk", "one").as_ref(), "milk@v1"));
+    assert!(is_served_by(complete(address, "milk", "one").as_ref(), "milk@v1"));
     assert_eq!(book(address, "seat").map(|answer| answer.status), Some(StatusCode::OK));
 
     for node in &system.nodes {
@@ -296,14 +301,14 @@
     }
 }
 
-/// Returns what the open files of a process are.
+/// Returns the link targets of the open file descriptors of a process.
 fn links(process: &Process) -> Vec<String> {
     let folder = std::fs::read_dir(format!("/proc/{}/fd", process.id())).expect("it runs");
     let links = folder.flatten().filter_map(|entry| std::fs::read_link(entry.path()).ok());
     links.map(|link| link.display().to_string()).collect()
 }
 
-/// Returns the ids of the processes that the threads of a process started.
+/// Returns the ids of the child processes that the threads of a process started.
 fn children(process: &Process) -> String {
     let threads = std::fs::read_dir(format!("/proc/{}/task", process.id())).expect("it runs");
     let lists = threads.flatten().map(|thread| thread.path().join("children"));
--- a/crates/orioleroute-node/tests/path.rs
+++ b/crates/orioleroute-node/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path through node processes.
+//! Requests and commands through node processes to engines and a service.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -36,7 +36,7 @@
     document.to_string().into()
 }
 
-/// A platform, two engines and two nodes with a document in force.
+/// Starts a platform, two engines and two nodes, and waits until a document is active on both nodes.
 fn system() -> Vec<Process> {
     let platform = system::platform();
     let engines = [system::engine(Settings::default()), system::engine(Settings::default())];
@@ -57,7 +57,7 @@
     });
     let submitted = system::command(&nodes[0], &Command::Submit { base: 0, document: document() });
     assert_eq!(submitted, Some(Answer::Accepted { version: 1 }));
-    until("in force everywhere", || {
+    until("the document is active on both nodes", || {
         nodes.iter().all(|node| status(node).is_some_and(|status| status.version == 1))
     });
     nodes
--- a/crates/orioleroute-node/tests/platform_settings.rs
+++ b/crates/orioleroute-node/tests/platform_settings.rs
@@ -1,5 +1,5 @@
-//! Settings of an instance on a platform: flags, variables and the file, checked at the start and at a
-//! reload.
+//! Settings of an instance with the platform backend: flags, variables and the file are checked at the
+//! start and at each reload.
 
 use std::io::{BufRead, BufReader};
 use std::path::PathBuf;
@@ -14,10 +14,10 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_orioleroute-node");
 
-/// A settings file that is removed with the test.
-struct File(PathBuf);
+/// A settings file that is removed when dropped.
+struct SettingsFile(PathBuf);
 
-impl File {
+impl SettingsFile {
     fn write(text: &str) -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -28,7 +28,7 @@
     }
 }
 
-impl Drop for File {
+impl Drop for SettingsFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
@@ -43,7 +43,7 @@
     )
 }
 
-fn run(file: &File, arguments: &[&str]) -> Output {
+fn run(file: &SettingsFile, arguments: &[&str]) -> Output {
     Command::new(PROGRAM)
         .args(["--backend", "platform", "--print-settings", "--config"])
         .arg(&file.0)
@@ -53,8 +53,8 @@
 }
 
 #[test]
-fn the_file_gives_settings_and_a_flag_goes_before_it() {
-    let file = File::write(&settings("connections = 7\n"));
+fn a_flag_overrides_the_file() {
+    let file = SettingsFile::write(&settings("connections = 7\n"));
 
     let from_file = run(&file, &[]);
     let from_flag = run(&file, &["--connections", "9"]);
@@ -69,19 +69,19 @@
 #[case::no_value("connections\n", "line 12")]
 #[case::wrong_type("grace-ms = soon\n", "--grace-ms")]
 #[case::wrong_zones("zones = a\n", "--zones")]
-fn faults_in_the_file_are_named_with_their_place(#[case] more: &str, #[case] place: &str) {
-    let file = File::write(&settings(more));
+fn errors_in_the_file_name_their_location(#[case] more: &str, #[case] location: &str) {
+    let file = SettingsFile::write(&settings(more));
 
     let output = run(&file, &[]);
 
     let message = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(2), "{message}");
-    assert!(message.contains(place), "{message}");
+    assert!(message.contains(location), "{message}");
 }
 
 #[test]
 fn all_missing_settings_are_named_at_once() {
-    let file = File::write("name = n1\n");
+    let file = SettingsFile::write("name = n1\n");
 
     let output = run(&file, &[]);
 
@@ -92,19 +92,19 @@
 }
 
 #[test]
-fn a_bad_reload_keeps_the_former_settings_and_says_so() {
-    let file = File::write(&settings(""));
+fn an_invalid_reload_keeps_the_previous_settings_and_is_logged() {
+    let file = SettingsFile::write(&settings(""));
     let mut child = start(&file);
     let mut lines = BufReader::new(child.stdout.take().unwrap()).lines();
-    until_logged(&mut lines, "started");
+    read_until_logged(&mut lines, "started");
 
     std::fs::write(&file.0, settings("grace-ms = soon\n")).unwrap();
     let pid = Pid::from_raw(child.id() as i32);
     kill(pid, Signal::SIGHUP).unwrap();
-    let rejected = until_logged(&mut lines, "settings rejected, the former stay");
+    let rejected = read_until_logged(&mut lines, "settings rejected, the former stay");
     std::fs::write(&file.0, settings("grace-ms = 9000\n")).unwrap();
     kill(pid, Signal::SIGHUP).unwrap();
-    until_logged(&mut lines, "settings reloaded");
+    read_until_logged(&mut lines, "settings reloaded");
 
     assert!(rejected["error"].as_str().unwrap().contains("--grace-ms"));
     child.kill().unwrap();
@@ -112,10 +112,10 @@
 }
 
 #[test]
-fn a_reader_of_the_log_that_has_stopped_holds_nothing_up() {
-    let file = File::write(&settings("log-level = debug\n"));
+fn a_stalled_log_reader_does_not_block_the_shutdown() {
+    let file = SettingsFile::write(&settings("log-level = debug\n"));
     let mut child = start(&file);
-    // Nobody reads the pipe; the process has to end in time all the same.
+    // Nothing reads the pipe; the process still has to end in time.
     std::thread::sleep(Duration::from_millis(500));
 
     kill(Pid::from_raw(child.id() as i32), Signal::SIGTERM).unwrap();
@@ -127,7 +127,7 @@
     }
 }
 
-fn start(file: &File) -> Child {
+fn start(file: &SettingsFile) -> Child {
     Command::new(PROGRAM)
         .args(["--backend", "platform", "--config"])
         .arg(&file.0)
@@ -136,7 +136,10 @@
         .expect("the program starts")
 }
 
-fn until_logged(lines: &mut impl Iterator<Item = std::io::Result<String>>, text: &str) -> Value {
+fn read_until_logged(
+    lines: &mut impl Iterator<Item = std::io::Result<String>>,
+    text: &str,
+) -> Value {
     let mut values =
         lines.map_while(Result::ok).filter_map(|line| serde_json::from_str(&line).ok());
     values
--- a/crates/orioleroute-node/tests/settings.rs
+++ b/crates/orioleroute-node/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings are checked at the start, and the log tells each decision.
+//! Settings are checked at the start, and each decision on a request is logged.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -46,7 +46,7 @@
 #[case::level("--log-level", "loud")]
 #[case::empty_token("--peer-token", "")]
 #[case::empty_name("--name", "")]
-fn wrong_settings_end_the_process(#[case] flag: &str, #[case] value: &str) {
+fn invalid_settings_end_the_process(#[case] flag: &str, #[case] value: &str) {
     let mut arguments: Vec<&str> = REQUIRED.to_vec();
     match arguments.iter().position(|argument| *argument == flag) {
         Some(index) => arguments[index + 1] = value,
@@ -77,17 +77,17 @@
     assert!(!text.contains("secret\n") && !text.contains("-secret"), "{text}");
 }
 
-/// A node whose log is read; killed when dropped.
-struct Logged(Child);
+/// A node process whose log can be read; killed when dropped.
+struct LoggedNode(Child);
 
-impl Drop for Logged {
+impl Drop for LoggedNode {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-fn start_logged(platform: SocketAddr) -> (Logged, Vec<SocketAddr>) {
+fn start_logged(platform: SocketAddr) -> (LoggedNode, Vec<SocketAddr>) {
     let platform = platform.to_string();
     let mut arguments = REQUIRED;
     for index in [7, 9, 11] {
@@ -103,14 +103,14 @@
     let output = child.stdout.take().expect("it is piped");
     BufReader::new(output).read_line(&mut line).expect("it prints its addresses");
     let addresses = line.split(['=', ' ', '\n']).filter_map(|word| word.parse().ok()).collect();
-    (Logged(child), addresses)
+    (LoggedNode(child), addresses)
 }
 
 fn command(operators: SocketAddr, command: &Value) -> Value {
-    let question = Call::new(Method::POST, "/command")
+    let request = Call::new(Method::POST, "/command")
         .header("authorization", "Bearer operator-secret")
         .json(command);
-    call(operators, question).expect("it answers").json(operators).expect("it is JSON")
+    call(operators, request).expect("it answers").json(operators).expect("it is JSON")
 }
 
 #[test]
@@ -136,9 +136,9 @@
         .header("x-request-id", "lesson-7")
         .json(&json!({ "model": "milk", "prompt": "p", "max_tokens": 2 }));
     assert!(call(callers, request).expect("it answers").status.is_success());
-    let mut stranger = TcpStream::connect(operators).expect("it listens");
+    let mut unauthorized = TcpStream::connect(operators).expect("it listens");
     let wrong = b"POST /command HTTP/1.1\r\nauthorization: Bearer guessed-it\r\ncontent-length: 2\r\n\r\n{}";
-    stranger.write_all(wrong).expect("it reads");
+    unauthorized.write_all(wrong).expect("it reads");
     std::thread::sleep(std::time::Duration::from_millis(200));
     node.0.kill().expect("it runs");
     let log = BufReader::new(node.0.stderr.take().expect("it is piped"));
--- a/crates/orioleroute-node/tests/support/mod.rs
+++ b/crates/orioleroute-node/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A system of node processes for tests of faults, seen from its callers' side.
+//! A system of node processes for fault tests, observed by its callers.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -20,10 +20,10 @@
 /// The region of every node.
 pub const REGION: &str = "zurich";
 
-/// The longest wait for the first part of a stream.
-const FIRST_PART: Duration = Duration::from_secs(10);
+/// The longest wait for the first chunk of a stream.
+const FIRST_CHUNK_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A platform, two engines, a service and nodes with a document in force.
+/// A platform, engines, a service and nodes with an accepted document.
 pub struct System {
     /// The platform.
     pub platform: SocketAddr,
@@ -36,18 +36,19 @@
 }
 
 impl System {
-    /// Starts a system with this many nodes.
+    /// Starts a system with two engines and the given number of nodes.
     pub fn start(nodes: usize) -> Self {
         let engines: Vec<SocketAddr> =
             (0..2).map(|_| system::engine(Settings::default())).collect();
         Self::with_engines(nodes, &engines, &engines)
     }
 
-    /// Starts a system whose nodes reach the engines at other addresses than the test does.
-    pub fn with_engines(nodes: usize, engines: &[SocketAddr], reached: &[SocketAddr]) -> Self {
+    /// Starts a system whose nodes reach the engines at `listed`, which may differ from the addresses
+    /// `engines` that the test uses.
+    pub fn with_engines(nodes: usize, engines: &[SocketAddr], listed: &[SocketAddr]) -> Self {
         let platform = system::platform();
         let service = system::service();
-        let mut list: Vec<Listing> = reached
+        let mut list: Vec<Listing> = listed
             .iter()
             .enumerate()
             .map(|(index, address)| {
@@ -60,7 +61,7 @@
         for index in 0..nodes {
             system.add_node(&format!("node-{index}"));
         }
-        system.until_members(nodes);
+        system.wait_for_members(nodes);
         system.submit(0, 0, "v1");
         system
     }
@@ -71,35 +72,35 @@
         self.nodes.push(node(program, name, REGION, self.platform, &[]).expect("it starts"));
     }
 
-    /// Submits a document whose default version is given, and waits until it is in force.
+    /// Submits a document with the given default version and waits until it is active on node `by`.
     pub fn submit(&self, by: usize, base: u64, default: &str) {
         let document: Arc<str> = document(default).to_string().into();
         let submit = Command::Submit { base, document };
         let answer = system::command(&self.nodes[by], &submit);
         assert_eq!(answer, Some(Answer::Accepted { version: base + 1 }));
-        until("it is in force", || {
+        until("the document is active", || {
             status(&self.nodes[by]).is_some_and(|status| status.version == base + 1)
         });
     }
 
-    /// Waits until every node that runs sees this many members and the newest document.
-    pub fn until_members(&self, count: usize) -> Duration {
-        until("the members are known", || {
+    /// Waits until every node sees this many members.
+    pub fn wait_for_members(&self, count: usize) -> Duration {
+        until("every node sees all members", || {
             self.nodes
                 .iter()
                 .all(|node| status(node).is_some_and(|status| status.instances.len() == count))
         })
     }
 
-    /// Returns where a node takes callers.
+    /// Returns a node's address for callers.
     pub fn callers(&self, index: usize) -> SocketAddr {
         self.nodes[index].address("callers").expect("the node printed its addresses")
     }
 
-    /// Returns the number of the node that is home to a model, by the word of another.
+    /// Returns the index of a model's home, as looked up at the node `asked`.
     pub fn home(&self, asked: usize, model: &str) -> usize {
-        let question = Call::new(Method::GET, format!("/route?adapter={model}"));
-        let answer = call(self.callers(asked), question).expect("the node answers");
+        let request = Call::new(Method::GET, format!("/route?adapter={model}"));
+        let answer = call(self.callers(asked), request).expect("the node answers");
         let body: Value = serde_json::from_slice(&answer.body).expect("it is JSON");
         let address = body["addresses"][0].as_str().expect("there is a home").parse();
         let address: SocketAddr = address.expect("it is an address");
@@ -107,14 +108,14 @@
         nodes.find(|index| self.callers(*index) == address).expect("it is one of the nodes")
     }
 
-    /// Returns how often the service ran a booking.
+    /// Returns how often the service ran the booking with an idempotency key.
     pub fn runs(&self, key: &str) -> u64 {
         let answer = call(self.service, Call::new(Method::GET, "/runs")).expect("it answers");
         let body: Value = serde_json::from_slice(&answer.body).expect("it is JSON");
         body[key].as_u64().unwrap_or(0)
     }
 
-    /// Returns everything that the engines did.
+    /// Returns the history of all engines.
     pub fn history(&self) -> Vec<Value> {
         let histories = self.engines.iter().map(|engine| {
             let answer = call(*engine, Call::new(Method::GET, "/history")).expect("it answers");
@@ -123,13 +124,13 @@
         histories.flatten().collect()
     }
 
-    /// Returns how often the engines began a request.
-    pub fn begins(&self, request: &str) -> usize {
+    /// Returns how often the engines started a request.
+    pub fn starts(&self, request: &str) -> usize {
         let history = self.history();
         history.iter().filter(|entry| entry["request"] == request).count()
     }
 
-    /// Checks that nothing was unloaded while it was in use.
+    /// Asserts that no revision was unloaded while it was in use.
     pub fn assert_nothing_evicted_in_use(&self) {
         for entry in self.history() {
             assert!(entry["event"] != "unload" || entry["running"] == 0, "{entry}");
@@ -154,30 +155,30 @@
     Call::new(Method::POST, "/v1/completions").json(&body)
 }
 
-/// Asks for a whole answer under a request's name.
+/// Sends a completion request with the given request id and returns the answer.
 pub fn complete(address: SocketAddr, model: &str, request: &str) -> Option<HttpAnswer> {
     call(address, completion(model, 3, false).header("x-request-id", request)).ok()
 }
 
-/// Asks for a whole answer within a time that the node is told.
+/// Sends a completion request with a deadline and returns the answer.
 pub fn complete_within(address: SocketAddr, model: &str, limit: Duration) -> Option<HttpAnswer> {
-    let question = completion(model, 3, false);
-    call(address, question.header("x-deadline-ms", limit.as_millis().to_string())).ok()
+    let request = completion(model, 3, false);
+    call(address, request.header("x-deadline-ms", limit.as_millis().to_string())).ok()
 }
 
-/// Sends a request to a process that may be stopped, and returns without an answer.
+/// Sends a completion request to a process that may be paused, without waiting for the answer.
 pub fn send(address: SocketAddr, model: &str) -> TcpStream {
     let body = json!({ "model": model, "max_tokens": 3, "prompt": "hello" }).to_string();
     let length = body.len();
     let head =
         format!("POST /v1/completions HTTP/1.1\r\nhost: node\r\ncontent-length: {length}\r\n\r\n");
     let mut socket = TcpStream::connect(address).expect("the kernel takes connections");
-    socket.set_read_timeout(Some(FIRST_PART)).expect("a socket has timeouts");
+    socket.set_read_timeout(Some(FIRST_CHUNK_TIMEOUT)).expect("a socket has timeouts");
     socket.write_all((head + &body).as_bytes()).expect("the kernel takes the request");
     socket
 }
 
-/// Returns the whole answer to a request that was sent.
+/// Returns the complete answer to a request of [`send`].
 pub fn receive(socket: TcpStream) -> String {
     let mut reader = BufReader::new(socket);
     let (mut head, mut length) = (String::new(), 0);
@@ -194,15 +195,15 @@
     head + &String::from_utf8_lossy(&body)
 }
 
-/// Returns whether an answer is whole and by a served name.
-pub fn is_by(answer: Option<&HttpAnswer>, served: &str) -> bool {
+/// Returns whether an answer is a success that was served under the given name.
+pub fn is_served_by(answer: Option<&HttpAnswer>, served: &str) -> bool {
     answer.is_some_and(|answer| {
         let body: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
         answer.status == StatusCode::OK && body["model"] == served
     })
 }
 
-/// Books a seat once, whatever comes back.
+/// Books a seat without a retry and returns the answer, if there is one.
 pub fn book(address: SocketAddr, key: &str) -> Option<HttpAnswer> {
     let request = Call::new(Method::POST, "/services/bookings/enrol")
         .header("idempotency-key", key)
@@ -210,34 +211,34 @@
     call(address, request).ok()
 }
 
-/// Returns what an answer says about whether the request ran.
+/// Returns the header field of an answer that says whether the request ran.
 pub fn ran(answer: &HttpAnswer) -> Option<&str> {
     answer.headers.get("x-request-ran")?.to_str().ok()
 }
 
-/// What a caller had of a stream.
+/// What a caller received of a stream.
 pub struct Stream {
-    /// The text up to its end.
+    /// The text up to the end of the stream or the error.
     pub text: String,
     /// How the connection broke, if it did.
     pub error: Option<Error>,
 }
 
 impl Stream {
-    /// Returns whether it has every token once, in order, and its end.
-    pub fn is_whole(&self, tokens: u32) -> bool {
-        let words: String = self
+    /// Returns whether it has every token once, in order, and ends as a complete stream does.
+    pub fn is_complete(&self, tokens: u32) -> bool {
+        let text: String = self
             .text
             .lines()
             .filter_map(|line| serde_json::from_str::<Value>(line.strip_prefix("data: ")?).ok())
             .filter_map(|event| Some(event["choices"][0]["text"].as_str()?.to_owned()))
             .collect();
         let expected: String = (0..tokens).map(|index| format!("w{index} ")).collect();
-        self.error.is_none() && words == expected && self.text.ends_with("data: [DONE]\n\n")
+        self.error.is_none() && text == expected && self.text.ends_with("data: [DONE]\n\n")
     }
 
-    /// Returns whether its last event says that the answer broke off and may have run.
-    pub fn says_broken(&self) -> bool {
+    /// Returns whether its last event is an error that says that the request may have run.
+    pub fn ends_with_error(&self) -> bool {
         let last = self.text.trim_end().lines().last().and_then(|line| line.strip_prefix("data: "));
         let event: Value =
             last.and_then(|data| serde_json::from_str(data).ok()).unwrap_or_default();
@@ -245,36 +246,36 @@
     }
 }
 
-/// Reads a stream on a thread of its own, and returns once its first part is there.
+/// Reads a stream on a separate thread, and returns once its first chunk has arrived.
 pub fn stream(address: SocketAddr, model: &str, tokens: u32) -> JoinHandle<Stream> {
-    let (begun, first) = std::sync::mpsc::channel();
-    let question = completion(model, tokens, true);
+    let (sender, first_chunk) = std::sync::mpsc::channel();
+    let request = completion(model, tokens, true);
     let reader = std::thread::spawn(move || {
         runtime::block_on(async move {
             let mut read = Stream { text: String::new(), error: None };
-            let mut incoming = match Pool::new().open(address, question).await {
+            let mut incoming = match Pool::new().open(address, request).await {
                 Ok(incoming) => incoming,
                 Err(error) => return Stream { error: Some(error), ..read },
             };
-            while let Some(part) = incoming.next().await {
-                match part {
-                    Ok(part) => read.text.push_str(&String::from_utf8_lossy(&part)),
+            while let Some(chunk) = incoming.next().await {
+                match chunk {
+                    Ok(chunk) => read.text.push_str(&String::from_utf8_lossy(&chunk)),
                     Err(error) => read.error = Some(error),
                 }
-                let _ = begun.send(());
+                let _ = sender.send(());
             }
             read
         })
     });
-    first.recv_timeout(FIRST_PART).expect("the stream begins");
+    first_chunk.recv_timeout(FIRST_CHUNK_TIMEOUT).expect("the stream begins");
     reader
 }
 
-/// Begins a stream, reads its first part and goes away.
-pub fn hang_up_early(address: SocketAddr, model: &str, tokens: u32) {
-    let question = completion(model, tokens, true);
+/// Starts a stream, reads its first chunk and disconnects.
+pub fn disconnect_early(address: SocketAddr, model: &str, tokens: u32) {
+    let request = completion(model, tokens, true);
     runtime::block_on(async move {
-        let mut incoming = Pool::new().open(address, question).await.expect("it answers");
+        let mut incoming = Pool::new().open(address, request).await.expect("it answers");
         incoming.next().await.expect("it begins").expect("it begins well");
     });
 }
