--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins of the outside systems: the platform, model engines and plain services.
+//! Stand-ins for the external systems: the platform, model engines and plain services.
 //!
-//! They speak the published formats of the systems that they stand for, in memory and without
-//! their guarantees, and can be told over HTTP to fail. They serve demonstrations and tests only.
+//! They implement the published protocols of those systems in memory, without their guarantees, and
+//! inject faults on request over HTTP. They are meant for demonstrations and tests only.
 
 pub mod bench;
 pub mod engine;
@@ -20,13 +20,13 @@
 use orioleroute_wire::Error;
 use orioleroute_wire::server::{self, Connection, Fault, Limits, Request, Response};
 
-/// Connections that a stand-in takes.
-const CONNECTIONS: usize = 20_000;
+/// Maximum number of connections to a stand-in.
+const MAX_CONNECTIONS: usize = 20_000;
 
-/// The largest body that a stand-in takes, in bytes.
-const BODY_BYTES: usize = 64 << 20;
+/// Maximum size of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// Binds a listener and prints its address as the first line, for whoever started the process.
+/// Binds a listener and prints its address as the first line of output, for the parent process.
 ///
 /// # Errors
 ///
@@ -38,21 +38,21 @@
     Ok((listener, bound))
 }
 
-/// Serves a stand-in with shared state until the listener fails.
-async fn serve<S, H>(listener: TcpListener, state: S, answer: H) -> std::io::Result<()>
+/// Serves a stand-in until the listener fails; all connections share `state`.
+async fn serve<S, H>(listener: TcpListener, state: S, handler: H) -> std::io::Result<()>
 where
     S: 'static,
     H: AsyncFn(&Rc<RefCell<S>>, &mut Connection, Request) -> Result<(), Error> + 'static,
 {
     let state = Rc::new(RefCell::new(state));
-    let limits = Limits { body_bytes: BODY_BYTES, ..Limits::default() };
-    server::serve(listener, limits, CONNECTIONS, explain, async move |connection, request| {
-        answer(&state, connection, request).await
+    let limits = Limits { body_bytes: MAX_BODY_BYTES, ..Limits::default() };
+    server::serve(listener, limits, MAX_CONNECTIONS, explain, async move |connection, request| {
+        handler(&state, connection, request).await
     })
     .await
 }
 
-/// Answers a fault in plain text.
+/// Answers a protocol fault in plain text.
 fn explain(fault: &Fault) -> Response {
     Response::text(fault.status(), fault.to_string())
 }
--- a/crates/standins/src/world/check.rs
+++ b/crates/standins/src/world/check.rs
@@ -1,6 +1,6 @@
-//! The promises, checked against what really happened.
+//! Checks the invariants against what happened in a [`World`](super::World).
 //!
-//! The checker reads [`Record`]s only; it knows nothing of the cores' insides.
+//! The checker reads only [`Record`]s and never the state of the cores.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,238 +9,254 @@
 use orioleroute::prelude::Instant;
 use orioleroute::request::{Ran, Target};
 
-use super::{Asked, Outcome, Record};
+use super::{CallerRequest, Outcome, Record};
 
 mod config;
 
-/// How soon an accepted configuration is in force everywhere.
-pub const IN_FORCE: Duration = Duration::from_secs(4);
+/// Time within which an accepted configuration has to be active on every node.
+pub const CONFIG_PROPAGATION_LIMIT: Duration = Duration::from_secs(4);
 
-/// How soon a leaving upstream receives no new work.
-pub const LEAVING: Duration = Duration::from_secs(3);
+/// Time after which a draining upstream must not receive new requests.
+pub const DRAIN_LIMIT: Duration = Duration::from_secs(3);
 
-/// How long after a caller's deadline its answer may still be on its way.
-pub const GRACE: Duration = Duration::from_millis(500);
+/// Time after a caller's deadline within which its answer may still arrive.
+pub const ANSWER_GRACE: Duration = Duration::from_millis(500);
 
-/// The part of a caller's timeout after which a refusal comes too late, in percent.
-pub const HELD_PERCENT: u32 = 80;
+/// Percentage of a caller's timeout within which a refusal has to arrive.
+pub const MAX_REFUSAL_WAIT_PERCENT: u32 = 80;
 
-/// A promise of the brief.
+/// An invariant of the system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Promise {
-    /// An answer is by exactly the revision that the request named.
-    Revision,
-    /// A revision in use is never evicted.
+    /// An answer comes from exactly the revision that the request named.
+    ExactRevision,
+    /// An engine never unloads a revision on which requests run.
     InUse,
-    /// A caller has at most one final answer.
-    OneAnswer,
-    /// "Not run" is said only when the request did not run.
+    /// A caller receives at most one final answer.
+    SingleAnswer,
+    /// A request is refused as "not run" only if it did not and will not run.
     NotRun,
     /// A request that is not repeatable runs at most once.
     AtMostOnce,
-    /// A leaving upstream receives no new work after [`LEAVING`].
-    Leaving,
-    /// Orders to an engine never go back to an older view.
-    Fencing,
-    /// An accepted configuration is in force everywhere after [`IN_FORCE`].
-    InForce,
-    /// A configuration never reverts.
+    /// A draining upstream receives no new requests after [`DRAIN_LIMIT`].
+    NoWorkWhileDraining,
+    /// The fencing tokens of the orders that an engine accepts never decrease.
+    MonotonicFencing,
+    /// An accepted configuration is active on every node after [`CONFIG_PROPAGATION_LIMIT`].
+    ConfigPropagation,
+    /// A node never returns to an older configuration version.
     NoRevert,
-    /// A version is accepted once, and names one document.
+    /// Each version is accepted once, with one document.
     NoFork,
-    /// What an operator is told of a submission is true.
-    Truth,
-    /// A caller of a node that lives has its final answer by its deadline and [`GRACE`].
-    Answered,
-    /// A refusal of what never began to run does not wait until near the deadline; see
-    /// [`HELD_PERCENT`].
+    /// The answer to an operator's submission matches what was accepted.
+    AccurateAnswers,
+    /// A caller of a running node gets its final answer by its deadline plus [`ANSWER_GRACE`], and every
+    /// request has one after recovery from all faults.
+    AnsweredInTime,
+    /// A request that never started to run is refused well before its deadline; see
+    /// [`MAX_REFUSAL_WAIT_PERCENT`].
     Prompt,
-    /// A graceful stop cuts off no request.
+    /// A graceful shutdown does not drop requests.
     GracefulStop,
-    /// Once all faults are mended, all nodes have the accepted version and engines what it allows.
+    /// After recovery from all faults, every running node has the newest accepted version, and engines
+    /// hold only adapters of that version.
     Converged,
 }
 
-/// A broken promise.
+/// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Breach {
-    /// The promise.
+    /// The invariant.
     pub promise: Promise,
-    /// When it was broken.
+    /// When the violation was detected.
     pub at: Instant,
     /// What happened.
-    pub what: String,
+    pub description: String,
 }
 
-/// The promises, checked record by record.
+/// Checks the invariants record by record.
 #[derive(Default)]
 pub struct Checker {
-    breaches: Vec<Breach>,
-    asked: BTreeMap<usize, (Instant, Asked)>,
+    violations: Vec<Breach>,
+    requests: BTreeMap<usize, (Instant, CallerRequest)>,
     answered: BTreeSet<usize>,
-    frozen: BTreeSet<usize>,
-    last_frozen: Option<Instant>,
-    last_graceful: Option<(Instant, usize)>,
-    config: config::Accepted,
-    began: BTreeSet<usize>,
-    not_run: BTreeSet<usize>,
-    runs: BTreeMap<String, u32>,
-    leaving: BTreeMap<usize, Instant>,
+    paused: BTreeSet<usize>,
+    last_pause_end: Option<Instant>,
+    last_graceful_exit: Option<(Instant, usize)>,
+    config: config::ConfigHistory,
+    started: BTreeSet<usize>,
+    refused_not_run: BTreeSet<usize>,
+    run_counts: BTreeMap<String, u32>,
+    draining_since: BTreeMap<usize, Instant>,
     fencing: BTreeMap<usize, u64>,
     versions: BTreeMap<(usize, u64), u64>,
 }
 
 impl Checker {
-    /// Returns every breach so far, the first one first.
+    /// Returns all violations so far, oldest first.
     pub fn breaches(&self) -> &[Breach] {
-        &self.breaches
+        &self.violations
     }
 
-    /// Takes what happened next.
-    pub fn take(&mut self, at: Instant, record: &Record) {
+    /// Checks the next record.
+    pub fn handle(&mut self, at: Instant, record: &Record) {
         match record {
-            Record::Asked(number, asked) => {
-                self.asked.insert(*number, (at, asked.clone()));
+            Record::Asked(number, request) => {
+                self.requests.insert(*number, (at, request.clone()));
             }
             Record::Answered(number, outcome) => {
-                self.take_answer(at, *number, outcome);
-                self.check_time(at, *number, outcome);
+                self.check_answer(at, *number, outcome);
+                self.check_answer_time(at, *number, outcome);
             }
-            Record::Began { asked, upstream, name, version, node } => {
-                self.take_run(at, *asked, *upstream, name, *version, *node);
+            Record::Began { caller_request, upstream, name, version, node } => {
+                self.check_run(at, *caller_request, *upstream, name, *version, *node);
             }
             Record::Ordered { upstream, load, name, running, .. } => {
                 if !load && *running > 0 {
-                    let what = format!("{name} on upstream {upstream} with {running} running");
-                    self.breach(Promise::InUse, at, what);
+                    let description = format!(
+                        "upstream {upstream} unloaded {name}, which ran {running} requests"
+                    );
+                    self.report(Promise::InUse, at, description);
                 }
             }
-            Record::Took { upstream, fencing } => self.take_fencing(at, *upstream, *fencing),
-            Record::Leaving(upstream) => {
-                self.leaving.entry(*upstream).or_insert(at);
+            Record::Took { upstream, fencing } => self.check_fencing(at, *upstream, *fencing),
+            Record::DrainStarted(upstream) => {
+                self.draining_since.entry(*upstream).or_insert(at);
             }
             Record::Submitted { ticket, object, document } => {
-                self.config.submit(*ticket, object, document);
+                self.config.record_submission(*ticket, object, document);
             }
             Record::Head { version, object } => {
-                let breaches = self.config.take_head(at, *version, object);
-                self.breaches.extend(breaches);
+                let violations = self.config.record_accepted(at, *version, object);
+                self.violations.extend(violations);
             }
-            Record::Told { ticket, answer } => self.take_told(at, *ticket, answer),
+            Record::OperatorAnswered { ticket, answer } => self.check_reply(at, *ticket, answer),
             Record::InForce { node, incarnation, version } => {
                 let last = self.versions.insert((*node, *incarnation), *version);
                 if last.is_some_and(|last| last > *version) {
-                    let what = format!("node {node}: {version} after {last:?}");
-                    self.breach(Promise::NoRevert, at, what);
+                    let description =
+                        format!("node {node} changed to version {version} after {last:?}");
+                    self.report(Promise::NoRevert, at, description);
                 }
             }
-            Record::Frozen(node) => {
-                self.frozen.insert(*node);
+            Record::Paused(node) => {
+                self.paused.insert(*node);
             }
-            Record::Woken(node) => self.thaw(at, *node),
-            Record::Ended { node, graceful } => {
-                self.thaw(at, *node);
-                self.last_graceful = graceful.then_some((at, *node));
+            Record::Resumed(node) => self.end_pause(at, *node),
+            Record::Exited { node, graceful } => {
+                self.end_pause(at, *node);
+                self.last_graceful_exit = graceful.then_some((at, *node));
             }
-            Record::Quiet { versions, strays } => self.take_quiet(at, versions, strays),
+            Record::Recovered { versions, unlisted } => self.check_recovery(at, versions, unlisted),
         }
     }
 
-    fn thaw(&mut self, at: Instant, node: usize) {
-        if self.frozen.remove(&node) {
-            self.last_frozen = Some(at);
+    fn end_pause(&mut self, at: Instant, node: usize) {
+        if self.paused.remove(&node) {
+            self.last_pause_end = Some(at);
         }
     }
 
-    fn take_fencing(&mut self, at: Instant, upstream: usize, fencing: u64) {
+    fn check_fencing(&mut self, at: Instant, upstream: usize, fencing: u64) {
         let last = self.fencing.entry(upstream).or_default();
         if fencing < *last {
-            let what = format!("upstream {upstream}: {fencing} after {last}");
-            self.breach(Promise::Fencing, at, what);
+            let description =
+                format!("upstream {upstream} accepted fencing token {fencing} after {last}");
+            self.report(Promise::MonotonicFencing, at, description);
         } else {
             *last = fencing;
         }
     }
 
-    fn take_told(&mut self, at: Instant, ticket: u64, answer: &Answer) {
-        if let Some(what) = self.config.check_told(ticket, answer) {
-            self.breach(Promise::Truth, at, what);
+    fn check_reply(&mut self, at: Instant, ticket: u64, answer: &Answer) {
+        if let Some(description) = self.config.record_answer(ticket, answer) {
+            self.report(Promise::AccurateAnswers, at, description);
         }
     }
 
-    fn take_quiet(&mut self, at: Instant, versions: &[(usize, u64)], strays: &[(usize, String)]) {
+    fn check_recovery(
+        &mut self,
+        at: Instant,
+        versions: &[(usize, u64)],
+        unlisted: &[(usize, String)],
+    ) {
         let newest = self.config.newest();
         for (node, version) in versions {
             if *version != newest {
-                let what = format!("node {node} is at {version}, accepted is {newest}");
-                self.breach(Promise::Converged, at, what);
+                let description =
+                    format!("node {node} has version {version}, the newest accepted is {newest}");
+                self.report(Promise::Converged, at, description);
             }
         }
-        for (engine, name) in strays {
-            self.breach(Promise::Converged, at, format!("upstream {engine} still holds {name}"));
+        for (engine, name) in unlisted {
+            self.report(Promise::Converged, at, format!("upstream {engine} still holds {name}"));
         }
-        let unanswered = self.asked.keys().filter(|number| !self.answered.contains(number));
+        let unanswered = self.requests.keys().filter(|number| !self.answered.contains(number));
         for number in unanswered.copied().collect::<Vec<_>>() {
-            self.breach(Promise::Answered, at, format!("request {number} has no answer"));
+            self.report(Promise::AnsweredInTime, at, format!("request {number} has no answer"));
         }
     }
 
-    /// Checks when an answer came, unless some process was stopped while it was waited for.
-    fn check_time(&mut self, at: Instant, number: usize, outcome: &Outcome) {
-        let Some((since, asked)) = self.asked.get(&number) else { return };
-        let (since, timeout, node) = (*since, asked.timeout, asked.node);
+    /// Checks that an answer came in time, unless some process was paused in the meantime.
+    fn check_answer_time(&mut self, at: Instant, number: usize, outcome: &Outcome) {
+        let Some((since, request)) = self.requests.get(&number) else { return };
+        let (since, timeout, node) = (*since, request.timeout, request.node);
         if *outcome == Outcome::Lost {
-            if self.last_graceful == Some((at, node)) && since < at {
-                let what = format!("request {number} was cut off by node {node}");
-                self.breach(Promise::GracefulStop, at, what);
+            if self.last_graceful_exit == Some((at, node)) && since < at {
+                let description =
+                    format!("node {node} dropped request {number} in a graceful shutdown");
+                self.report(Promise::GracefulStop, at, description);
             }
             return;
         }
-        if !self.frozen.is_empty() || self.last_frozen.is_some_and(|last| last >= since) {
+        if !self.paused.is_empty() || self.last_pause_end.is_some_and(|last| last >= since) {
             return;
         }
-        let took = at.since(since);
-        if took > timeout + GRACE {
-            let what = format!("request {number} had its answer after {took:?}");
-            self.breach(Promise::Answered, at, what);
+        let elapsed = at.since(since);
+        if elapsed > timeout + ANSWER_GRACE {
+            let description = format!("request {number} was answered after {elapsed:?}");
+            self.report(Promise::AnsweredInTime, at, description);
         }
-        // What an upstream has begun to run may be answered up to the deadline.
-        let held = took * 100 > timeout * HELD_PERCENT && !self.began.contains(&number);
-        if matches!(outcome, Outcome::Refused(_)) && held {
-            let what = format!("request {number} was held for {took:?}, then {outcome:?}");
-            self.breach(Promise::Prompt, at, what);
+        // A request that started to run on an upstream may be answered up to the deadline.
+        let too_late =
+            elapsed * 100 > timeout * MAX_REFUSAL_WAIT_PERCENT && !self.started.contains(&number);
+        if matches!(outcome, Outcome::Refused(_)) && too_late {
+            let description = format!("request {number} waited {elapsed:?} until {outcome:?}");
+            self.report(Promise::Prompt, at, description);
         }
     }
 
-    fn take_answer(&mut self, at: Instant, number: usize, outcome: &Outcome) {
+    fn check_answer(&mut self, at: Instant, number: usize, outcome: &Outcome) {
         if !self.answered.insert(number) {
-            self.breach(Promise::OneAnswer, at, format!("request {number} had two answers"));
+            self.report(Promise::SingleAnswer, at, format!("request {number} got two answers"));
         }
         match outcome {
             Outcome::Whole(name) => {
-                let target = self.asked.get(&number).map(|(_, asked)| &asked.target);
+                let target = self.requests.get(&number).map(|(_, request)| &request.target);
                 let Some(Target::Model(model)) = target else { return };
-                let named = match model.contains('@') {
+                let is_named = match model.contains('@') {
                     true => **model == **name,
                     false => name.split('@').next() == Some(model),
                 };
-                if !named {
-                    let what = format!("request {number} named {model}, answered by {name}");
-                    self.breach(Promise::Revision, at, what);
+                if !is_named {
+                    let description =
+                        format!("request {number} for {model} was answered by {name}");
+                    self.report(Promise::ExactRevision, at, description);
                 }
             }
             Outcome::Refused(refusal) if refusal.ran == Ran::NotRun => {
-                if self.began.contains(&number) {
-                    let what = format!("request {number} was told \"not run\" and ran");
-                    self.breach(Promise::NotRun, at, what);
+                if self.started.contains(&number) {
+                    let description =
+                        format!("request {number} was refused as not run after it started to run");
+                    self.report(Promise::NotRun, at, description);
                 }
-                self.not_run.insert(number);
+                self.refused_not_run.insert(number);
             }
             _ => {}
         }
     }
 
-    fn take_run(
+    fn check_run(
         &mut self,
         at: Instant,
         number: usize,
@@ -249,32 +265,33 @@
         version: u64,
         node: usize,
     ) {
-        self.began.insert(number);
-        if self.not_run.contains(&number) {
-            let what = format!("request {number} was told \"not run\" and ran later");
-            self.breach(Promise::NotRun, at, what);
+        self.started.insert(number);
+        if self.refused_not_run.contains(&number) {
+            let description =
+                format!("request {number} started to run after it was refused as not run");
+            self.report(Promise::NotRun, at, description);
         }
-        if self.leaving.get(&upstream).is_some_and(|since| at > *since + LEAVING) {
-            let what = format!("request {number} on leaving upstream {upstream}");
-            self.breach(Promise::Leaving, at, what);
+        if self.draining_since.get(&upstream).is_some_and(|since| at > *since + DRAIN_LIMIT) {
+            let description = format!("request {number} started on draining upstream {upstream}");
+            self.report(Promise::NoWorkWhileDraining, at, description);
         }
-        if let Some(what) = self.check_version(at, number, name, version) {
-            self.breach(Promise::InForce, at, format!("{what}, by node {node}"));
+        if let Some(description) = self.check_version(at, number, name, version) {
+            self.report(Promise::ConfigPropagation, at, format!("{description} (node {node})"));
         }
-        let asked = self.asked.get(&number).map(|(_, asked)| asked);
-        let Some(asked) = asked.filter(|asked| !asked.repeatable) else { return };
-        let id = asked.idempotency.clone().unwrap_or_else(|| format!("request {number}"));
-        let runs = self.runs.entry(id.clone()).or_default();
+        let request = self.requests.get(&number).map(|(_, request)| request);
+        let Some(request) = request.filter(|request| !request.repeatable) else { return };
+        let id = request.idempotency.clone().unwrap_or_else(|| format!("request {number}"));
+        let runs = self.run_counts.entry(id.clone()).or_default();
         *runs += 1;
         if *runs > 1 {
-            self.breach(Promise::AtMostOnce, at, format!("{id} ran again"));
+            self.report(Promise::AtMostOnce, at, format!("{id} ran more than once"));
         }
     }
 
-    /// Returns what is wrong if no configuration that was due lets a name answer a request.
+    /// Describes the violation if no configuration that may be active allows a revision for a request.
     ///
-    /// A request keeps the revision that it named when it arrived, while a later version comes into
-    /// force; a node that is behind may still answer what the later version does not change.
+    /// A request keeps the revision that it was resolved to on arrival while a later version becomes
+    /// active. A node with an older version may still answer what the later version does not change.
     fn check_version(
         &self,
         at: Instant,
@@ -282,16 +299,18 @@
         name: &str,
         version: u64,
     ) -> Option<String> {
-        let (since, asked) = self.asked.get(&number)?;
-        let due = self.config.due(at);
-        let (oldest, newest) = (self.config.due(*since), self.config.newest());
-        let resolved = (oldest..=newest).any(|held| self.config.allows(held, &asked.target, name));
-        let behind = version < due && !self.config.allows(due, &asked.target, name);
-        let what = format!("{name} run for {:?} at version {version}", asked.target);
-        (!resolved || behind).then(|| format!("{what}, due was {oldest} and then {due}"))
+        let (since, request) = self.requests.get(&number)?;
+        let due = self.config.due_version(at);
+        let (oldest, newest) = (self.config.due_version(*since), self.config.newest());
+        let resolved =
+            (oldest..=newest).any(|candidate| self.config.allows(candidate, &request.target, name));
+        let behind = version < due && !self.config.allows(due, &request.target, name);
+        let description = format!("{name} ran for {:?} at version {version}", request.target);
+        (!resolved || behind)
+            .then(|| format!("{description}, due on arrival {oldest}, due now {due}"))
     }
 
-    fn breach(&mut self, promise: Promise, at: Instant, what: String) {
-        self.breaches.push(Breach { promise, at, what });
+    fn report(&mut self, promise: Promise, at: Instant, description: String) {
+        self.violations.push(Breach { promise, at, description });
     }
 }
--- a/crates/standins/src/world/check/config.rs
+++ b/crates/standins/src/world/check/config.rs
@@ -1,4 +1,4 @@
-//! What the table accepted and what operators were told of it.
+//! The accepted configuration versions, and whether the answers to operators agree with them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,42 +7,47 @@
 use orioleroute::request::Target;
 use serde_json::Value;
 
-use super::{Breach, IN_FORCE, Promise};
+use super::{Breach, CONFIG_PROPAGATION_LIMIT, Promise};
 
-/// The accepted versions, and the submissions by the objects that hold their documents.
+/// The accepted versions and the submissions, each with the key of the object that holds its document.
 #[derive(Default)]
-pub struct Accepted {
-    heads: Vec<(Instant, u64, String)>,
+pub struct ConfigHistory {
+    /// When each version was accepted, its number and its object.
+    accepted_versions: Vec<(Instant, u64, String)>,
+    /// Objects by the ticket of the submission.
     submitted: BTreeMap<u64, String>,
-    /// The default version and all versions of each adapter, by the object of the document.
+    /// For each object, the default version and all versions of each adapter.
     documents: BTreeMap<String, BTreeMap<String, (String, Vec<String>)>>,
-    /// Objects of submissions whose operators were told that nothing was accepted.
-    denied: BTreeSet<String>,
+    /// Objects of the submissions that were answered as not accepted.
+    reported_not_accepted: BTreeSet<String>,
 }
 
-impl Accepted {
-    /// Takes a submission that was stored as an object.
-    pub fn submit(&mut self, ticket: u64, object: &str, document: &str) {
+impl ConfigHistory {
+    /// Records that a submission was stored as an object.
+    pub fn record_submission(&mut self, ticket: u64, object: &str, document: &str) {
         self.documents.insert(object.to_owned(), adapters(document));
         self.submitted.insert(ticket, object.to_owned());
     }
 
-    /// Returns the newest accepted version; zero before the first.
+    /// Returns the newest accepted version, or zero if there is none.
     pub fn newest(&self) -> u64 {
-        self.heads.iter().map(|(_, version, _)| *version).max().unwrap_or_default()
+        self.accepted_versions.iter().map(|(_, version, _)| *version).max().unwrap_or_default()
     }
 
-    /// Returns the newest version that has to be in force everywhere.
-    pub fn due(&self, at: Instant) -> u64 {
-        let due = self.heads.iter().filter(|(since, ..)| at > *since + IN_FORCE);
+    /// Returns the newest version that has to be active on every node at a time.
+    pub fn due_version(&self, at: Instant) -> u64 {
+        let due = self
+            .accepted_versions
+            .iter()
+            .filter(|(since, ..)| at > *since + CONFIG_PROPAGATION_LIMIT);
         due.map(|(_, version, _)| *version).max().unwrap_or_default()
     }
 
-    /// Returns whether a version lets an upstream answer for a target under a served name.
+    /// Returns whether a version allows a served name to answer requests for a target.
     pub fn allows(&self, version: u64, target: &Target, name: &str) -> bool {
         let Target::Model(model) = target else { return true };
-        let head = self.heads.iter().find(|(_, head, _)| *head == version);
-        let Some(adapters) = head.and_then(|(.., object)| self.documents.get(object)) else {
+        let accepted = self.accepted_versions.iter().find(|(_, accepted, _)| *accepted == version);
+        let Some(adapters) = accepted.and_then(|(.., object)| self.documents.get(object)) else {
             return true;
         };
         let (adapter, named) = match model.split_once('@') {
@@ -55,35 +60,38 @@
         })
     }
 
-    /// Takes an acceptance, and returns what is wrong with it.
-    pub fn take_head(&mut self, at: Instant, version: u64, object: &str) -> Vec<Breach> {
-        let mut breaches = Vec::new();
+    /// Records that a version was accepted, and returns the violations.
+    pub fn record_accepted(&mut self, at: Instant, version: u64, object: &str) -> Vec<Breach> {
+        let mut violations = Vec::new();
         let newest = self.newest();
         if version <= newest {
-            let what = format!("{object} was accepted after version {newest}");
-            breaches.push(Breach { promise: Promise::NoFork, at, what });
+            let description = format!("{object} was accepted with a version not above {newest}");
+            violations.push(Breach { promise: Promise::NoFork, at, description });
         }
-        if self.denied.contains(object) {
-            let what = format!("{object} was accepted after its operator was told that it was not");
-            breaches.push(Breach { promise: Promise::Truth, at, what });
+        if self.reported_not_accepted.contains(object) {
+            let description =
+                format!("{object} was accepted after it was answered as not accepted");
+            violations.push(Breach { promise: Promise::AccurateAnswers, at, description });
         }
-        self.heads.push((at, version, object.to_owned()));
-        breaches
+        self.accepted_versions.push((at, version, object.to_owned()));
+        violations
     }
 
-    /// Takes what an operator was told, and returns what is untrue about it.
-    pub fn check_told(&mut self, ticket: u64, answer: &Answer) -> Option<String> {
+    /// Records the answer to a submission, and describes the violation if it does not match what was
+    /// accepted.
+    pub fn record_answer(&mut self, ticket: u64, answer: &Answer) -> Option<String> {
         let object = self.submitted.get(&ticket)?.clone();
-        let accepted = self.heads.iter().find(|(.., head)| *head == object);
+        let accepted = self.accepted_versions.iter().find(|(.., key)| *key == object);
         match answer {
             Answer::Accepted { version } => {
-                let true_of_head = accepted.is_some_and(|(_, head, _)| head == version);
-                (!true_of_head).then(|| format!("{object} was called accepted and was not"))
+                let matches_record = accepted.is_some_and(|(_, accepted, _)| accepted == version);
+                (!matches_record)
+                    .then(|| format!("{object} was not accepted as the version in its answer"))
             }
             Answer::Failed { reason } if !reason.contains("nothing was accepted") => None,
             Answer::Conflict { .. } | Answer::Failed { .. } | Answer::Invalid { .. } => {
-                self.denied.insert(object.clone());
-                accepted.map(|_| format!("{object} was called not accepted and was"))
+                self.reported_not_accepted.insert(object.clone());
+                accepted.map(|_| format!("{object} was answered as not accepted but was"))
             }
             _ => None,
         }
--- a/crates/standins/src/world/engine.rs
+++ b/crates/standins/src/world/engine.rs
@@ -1,4 +1,4 @@
-//! Engines and plain services.
+//! Upstreams: engines and plain services.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,64 +11,64 @@
 use orioleroute::prelude::{Event, Instant};
 use orioleroute::request::{Dispatch, Failure};
 
-use super::queue::{Delivery, End, Place};
+use super::queue::{Attempt, AttemptEnd, Delivery};
 use super::{Record, World, upstream_of};
 
-/// Ports of fake addresses of upstreams start here.
+/// Port of the first upstream; the port of an address identifies its upstream.
 pub(super) const FIRST_PORT: u16 = 30_000;
 
-/// The shortest and longest delay to an upstream and back, in microseconds.
+/// Range of the delay of a reply from an upstream, in microseconds.
 const DELAY_US: (u64, u64) = (100, 2_000);
 
-/// When a node gives up on an order without a reply.
-const GIVE_UP: Duration = Duration::from_secs(10);
+/// Time after which a node stops waiting for the reply to an order.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How an upstream misbehaves.
+/// The faults of an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Nothing can connect to it.
+    /// Connections to it fail.
     pub down: bool,
     /// Loads fail.
     pub loads_fail: bool,
-    /// Orders take effect, and their replies are lost.
+    /// Orders take effect, but their replies are lost.
     pub order_replies_lost: bool,
-    /// Requests run, and their answers are lost.
+    /// Requests run, but their answers are lost.
     pub answers_lost: bool,
-    /// It is leaving, says so in its reports, and declines new requests.
+    /// It is draining: its reports show it, and it declines new requests.
     pub draining: bool,
 }
 
 /// An engine or plain service.
 pub struct Engine {
-    /// How the platform lists it.
+    /// Its entry in the platform's list of upstreams.
     pub listing: Listing,
-    /// The adapters that it holds at a time; zero for a plain service.
+    /// Number of adapter slots; zero for a plain service.
     pub slots: usize,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether it refuses orders with an old fencing token.
     pub checks_fencing: bool,
-    /// How long a load takes.
+    /// Duration of a load.
     pub load_time: Duration,
-    /// How long a request runs.
+    /// Duration of a request.
     pub run_time: Duration,
-    /// How old its reports are.
+    /// Age of its reports when they arrive.
     pub report_lag: Duration,
-    /// How it misbehaves.
+    /// Its faults.
     pub faults: Faults,
     incarnation: u64,
-    fencing: u64,
+    max_fencing: u64,
     loaded: BTreeMap<String, u32>,
     runs: BTreeMap<u64, Run>,
     next_run: u64,
 }
 
 struct Run {
-    place: Place,
+    attempt: Attempt,
     name: String,
-    /// From when on the caller has a part of the answer, if it is streamed.
-    streamed: Option<Instant>,
+    /// When the caller gets the first part of a streamed answer; `None` if it is not streamed.
+    streams_from: Option<Instant>,
 }
 
-/// An order on its way.
+/// An order in transit or in progress.
 #[derive(Clone)]
 pub struct Order {
     pub(super) node: usize,
@@ -78,12 +78,12 @@
     pub(super) engine: usize,
     pub(super) order: engine::Order,
     pub(super) fencing: u64,
-    /// The incarnation of the engine that took it.
-    pub(super) taken_by: u64,
+    /// The incarnation of the engine that accepted it; zero before that.
+    pub(super) engine_incarnation: u64,
 }
 
 impl Engine {
-    /// Returns an upstream with the number that it will have in the world.
+    /// Returns an upstream; `number` has to be its index in [`World::engines`].
     pub fn new(number: usize, pool: &str, region: &str, slots: usize) -> Self {
         let address: SocketAddr = ([127, 0, 0, 1], FIRST_PORT + number as u16).into();
         Self {
@@ -95,29 +95,29 @@
             report_lag: Duration::ZERO,
             faults: Faults::default(),
             incarnation: 1,
-            fencing: 0,
+            max_fencing: 0,
             loaded: BTreeMap::new(),
             runs: BTreeMap::new(),
             next_run: 0,
         }
     }
 
-    /// Returns the served names that are loaded.
+    /// Returns the served names of the loaded adapters.
     pub fn loaded(&self) -> impl Iterator<Item = &str> {
         self.loaded.keys().map(String::as_str)
     }
 
-    /// Lets it hold a revision that nobody ordered.
+    /// Loads an adapter without an order.
     pub fn hold(&mut self, name: &str) {
         self.loaded.insert(name.into(), 0);
     }
 
-    /// Lets it lose a revision that nobody ordered to unload.
+    /// Unloads an adapter without an order.
     pub fn lose(&mut self, name: &str) {
         self.loaded.remove(name);
     }
 
-    /// Returns the requests that run on it.
+    /// Returns the number of requests that run on it.
     pub fn running(&self) -> usize {
         self.runs.len()
     }
@@ -134,21 +134,21 @@
             running: self.runs.len() as u32,
             loaded,
             age_ms: self.report_lag.as_millis() as u32,
-            fencing: if self.checks_fencing { self.fencing } else { 0 },
+            fencing: if self.checks_fencing { self.max_fencing } else { 0 },
             draining: self.faults.draining,
         }
     }
 }
 
 impl World {
-    /// Restarts an engine with nothing loaded; what ran on it breaks off.
+    /// Restarts an engine, which unloads its adapters and breaks the requests that run on it.
     pub fn restart_engine(&mut self, number: usize) {
         let engine = &mut self.engines[number];
         engine.incarnation += 1;
         engine.loaded.clear();
         let runs = std::mem::take(&mut engine.runs);
         for run in runs.into_values() {
-            self.lose_run(run);
+            self.abort_run(run);
         }
     }
 
@@ -163,27 +163,27 @@
         self.queue.push(at, Delivery::Event { node, incarnation, event });
     }
 
-    pub(super) fn do_order(&mut self, mut order: Order) {
+    pub(super) fn handle_order(&mut self, mut order: Order) {
         let engine = &mut self.engines[order.engine];
         if engine.faults.down {
-            return self.end_order_with(&order, Outcome::Failed);
+            return self.reply_to_order(&order, Outcome::Failed);
         }
-        if engine.checks_fencing && order.fencing < engine.fencing {
-            return self.end_order_with(&order, Outcome::Fenced);
+        if engine.checks_fencing && order.fencing < engine.max_fencing {
+            return self.reply_to_order(&order, Outcome::Fenced);
         }
-        engine.fencing = engine.fencing.max(order.fencing);
-        order.taken_by = engine.incarnation;
+        engine.max_fencing = engine.max_fencing.max(order.fencing);
+        order.engine_incarnation = engine.incarnation;
         let load = matches!(order.order, engine::Order::Load { .. });
         let time = if load { engine.load_time } else { Duration::ZERO };
         let (upstream, fencing) = (order.engine, order.fencing);
         self.record(Record::Took { upstream, fencing });
-        self.queue.push(self.now + time, Delivery::OrderEnd(order));
+        self.queue.push(self.now + time, Delivery::OrderFinished(order));
     }
 
-    pub(super) fn end_order(&mut self, order: Order) {
+    pub(super) fn finish_order(&mut self, order: Order) {
         let engine = &mut self.engines[order.engine];
-        if order.taken_by != engine.incarnation {
-            // The process that took it has ended, which breaks the connection.
+        if order.engine_incarnation != engine.incarnation {
+            // The engine restarted since it accepted the order, which broke the connection.
             let (node, incarnation) = (order.node, order.incarnation);
             let Order { ticket, upstream, .. } = order;
             let event = Event::Ordered { ticket, upstream, outcome: Outcome::Unknown };
@@ -193,7 +193,7 @@
         let name = order.order.name().to_string();
         let full = engine.loaded.len() >= engine.slots && !engine.loaded.contains_key(&name);
         if load && (engine.faults.loads_fail || full) {
-            return self.end_order_with(&order, Outcome::Failed);
+            return self.reply_to_order(&order, Outcome::Failed);
         }
         let running = engine.runs.values().filter(|run| run.name == name).count() as u32;
         if load {
@@ -210,12 +210,12 @@
             running,
         });
         let outcome = if lost { Outcome::Unknown } else { Outcome::Done };
-        self.end_order_with(&order, outcome);
+        self.reply_to_order(&order, outcome);
     }
 
-    fn end_order_with(&mut self, order: &Order, outcome: Outcome) {
+    fn reply_to_order(&mut self, order: &Order, outcome: Outcome) {
         let wait = match outcome {
-            Outcome::Unknown => GIVE_UP,
+            Outcome::Unknown => ORDER_TIMEOUT,
             _ => self.delay(DELAY_US),
         };
         let (node, incarnation) = (order.node, order.incarnation);
@@ -223,57 +223,57 @@
         self.queue.push(self.now + wait, Delivery::Event { node, incarnation, event });
     }
 
-    pub(super) fn begin_run(
+    pub(super) fn start_run(
         &mut self,
-        place: Place,
+        attempt: Attempt,
         version: u64,
         dispatch: &Dispatch,
-        asked: usize,
+        caller_request: usize,
     ) {
         let upstream = upstream_of(dispatch.address);
         let engine = &mut self.engines[upstream];
         if engine.faults.down {
-            return self.take_run_answer(place, End::Failed(Failure::Unsent));
+            return self.end_attempt(attempt, AttemptEnd::Failed(Failure::Unsent));
         }
         if engine.faults.draining {
-            return self.take_run_answer(place, End::Failed(Failure::Declined));
+            return self.end_attempt(attempt, AttemptEnd::Failed(Failure::Declined));
         }
         let name = dispatch.name.as_deref().unwrap_or_default().to_owned();
         if engine.slots > 0 && !engine.loaded.contains_key(&name) {
-            return self.take_run_answer(place, End::Failed(Failure::NotLoaded));
+            return self.end_attempt(attempt, AttemptEnd::Failed(Failure::NotLoaded));
         }
         engine.next_run += 1;
         let run = engine.next_run;
-        // Every other caller asks for a stream, and has the first part after half of the time.
-        let streamed = (asked % 2 == 1).then_some(self.now + engine.run_time / 2);
-        engine.runs.insert(run, Run { place, name: name.clone(), streamed });
+        // Every other request is streamed, with the first part after half of the run time.
+        let streams_from = (caller_request % 2 == 1).then_some(self.now + engine.run_time / 2);
+        engine.runs.insert(run, Run { attempt, name: name.clone(), streams_from });
         let end = self.now + engine.run_time;
-        let node = place.node;
-        self.record(Record::Began { asked, upstream, name, node, version });
-        self.queue.push(end, Delivery::RunEnd { upstream, run });
+        let node = attempt.node;
+        self.record(Record::Began { caller_request, upstream, name, node, version });
+        self.queue.push(end, Delivery::RunFinished { upstream, run });
     }
 
-    pub(super) fn end_run(&mut self, upstream: usize, run: u64) {
+    pub(super) fn finish_run(&mut self, upstream: usize, run: u64) {
         let Some(run) = self.engines[upstream].runs.remove(&run) else { return };
         if self.engines[upstream].faults.answers_lost {
-            return self.lose_run(run);
+            return self.abort_run(run);
         }
-        self.take_run_answer(run.place, End::Whole(run.name));
+        self.end_attempt(run.attempt, AttemptEnd::Complete(run.name));
     }
 
-    /// Breaks off what an upstream answers.
-    fn lose_run(&mut self, run: Run) {
-        let end = match run.streamed {
-            Some(first) if self.now >= first => End::BrokenOff,
-            _ => End::Failed(Failure::Broken),
+    /// Breaks the connection over which an upstream answers a run.
+    fn abort_run(&mut self, run: Run) {
+        let end = match run.streams_from {
+            Some(first) if self.now >= first => AttemptEnd::Interrupted,
+            _ => AttemptEnd::Failed(Failure::Broken),
         };
-        self.take_run_answer(run.place, end);
+        self.end_attempt(run.attempt, end);
     }
 
-    /// Ends the runs of a node whose connections have closed.
+    /// Removes the runs of a node that exited, since its connections are closed.
     pub(super) fn drop_runs_of(&mut self, node: usize) {
         for engine in &mut self.engines {
-            engine.runs.retain(|_, run| run.place.node != node);
+            engine.runs.retain(|_, run| run.attempt.node != node);
         }
     }
 }
--- a/crates/standins/src/world/faults.rs
+++ b/crates/standins/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! The end of every fault, and what holds once it has been quiet for a while.
+//! Recovery from all faults, and the state that is recorded for the checker afterwards.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,7 +11,9 @@
 use super::{Record, World};
 
 impl World {
-    /// Mends every fault, starts every dead node, lets `span` pass and records what then holds.
+    /// Ends all faults, waits for the system to recover and records the resulting state.
+    ///
+    /// Nodes that are not running are started after half of `span`; the state is recorded at its end.
     pub fn settle(&mut self, span: Duration) {
         self.heal();
         for engine in &mut self.engines {
@@ -32,27 +34,28 @@
         let versions = versions
             .filter_map(|(number, node)| Some((number, node.core.as_ref()?.version())))
             .collect();
-        let strays = self.strays();
-        self.record(Record::Quiet { versions, strays });
+        let unlisted = self.unlisted();
+        self.record(Record::Recovered { versions, unlisted });
     }
 
-    /// Returns what engines hold that the document in force does not have.
+    /// Returns the adapters that engines hold but the active document does not list.
     ///
-    /// An engine that is leaving gets no orders. One that ignores fencing numbers gets none for up
-    /// to 15 minutes after an unclean removal; see `docs/DESIGN.md`, section "Leases".
-    fn strays(&mut self) -> Vec<(usize, String)> {
-        let Some(names) = self.names() else { return Vec::new() };
+    /// This leaves out draining engines, since they get no orders, and engines that ignore fencing
+    /// tokens, since they may get none for up to 15 minutes after an unclean removal; see
+    /// `docs/DESIGN.md`, section "Leases".
+    fn unlisted(&mut self) -> Vec<(usize, String)> {
+        let Some(active_names) = self.active_names() else { return Vec::new() };
         let engines = self.engines.iter().enumerate();
         engines
             .filter(|(_, engine)| engine.checks_fencing && engine.listing.phase == Phase::Live)
             .flat_map(|(number, engine)| engine.loaded().map(move |name| (number, name)))
-            .filter(|(_, name)| !names.contains(*name))
+            .filter(|(_, name)| !active_names.contains(*name))
             .map(|(number, name)| (number, name.to_owned()))
             .collect()
     }
 
-    /// Returns the served names of the document that a live node says is in force.
-    fn names(&mut self) -> Option<BTreeSet<String>> {
+    /// Returns the served names in the active document of the first running node.
+    fn active_names(&mut self) -> Option<BTreeSet<String>> {
         let node = (0..self.nodes.len()).find(|number| self.nodes[*number].core.is_some())?;
         let ticket = self.command(node, Command::Document);
         let Some(Answer::Document { document, .. }) = self.answers.get(&ticket) else {
--- a/crates/standins/src/world/mod.rs
+++ b/crates/standins/src/world/mod.rs
@@ -1,10 +1,11 @@
-//! Fakes at the interfaces of several cores, in memory and on one seeded clock.
+//! A deterministic in-memory simulation of several instances and their environment.
 //!
-//! A [`World`] holds cores, the platform's table and objects, engines and services, and callers. It
-//! delivers what the cores send with delays drawn from a seed, and can kill, freeze, cut off and
-//! confuse each part. What really happened is kept as [`Record`]s, which [`check`] compares with
-//! the promises without knowing anything of the cores' insides. It is no model of a network or a
-//! cluster: only the order of events matters.
+//! A [`World`] holds the cores of the instances, the platform's table and object store, the
+//! upstreams and the callers, all on one simulated clock. It delivers what the cores send after
+//! delays drawn from a seed, and can inject faults: crashes, pauses, partitions, lost replies, and
+//! duplicated or reordered messages. It logs what happened as [`Record`]s, which [`check`] compares
+//! with the invariants without looking at the state of the cores. It does not model the performance
+//! of a network or cluster: only the order of events matters.
 
 mod caller;
 pub mod check;
@@ -28,64 +29,64 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-pub use caller::{Asked, Outcome};
+pub use caller::{CallerRequest, Outcome};
 pub use engine::Engine;
 pub use network::Network;
 pub use platform::{Faults, Platform};
 use queue::{Delivery, Queue};
 pub use record::Record;
 
-/// An instance of the system.
+/// A simulated instance.
 pub struct Node {
-    /// Who it is; each start has a new incarnation.
+    /// Its identity, with a new incarnation for each start.
     pub identity: Identity,
-    /// The core, unless the process is dead.
+    /// Its core, or `None` while its process is not running.
     pub core: Option<Core>,
-    /// Whether the process is stopped but not dead.
-    pub frozen: bool,
-    /// What arrived while it was frozen.
+    /// Whether its process is paused, as by SIGSTOP.
+    pub paused: bool,
+    /// Events that arrived while it was paused.
     backlog: Vec<Event>,
-    /// How far its clock is ahead of the world's.
+    /// How far its clock is ahead of the simulated clock.
     skew: Duration,
-    /// When the newest list reaches it.
-    listed_at: Instant,
-    /// The configuration version last recorded.
-    version: u64,
-    /// Messages and bytes that it sent, table operations that it asked for.
+    /// When the newest list of upstreams reaches it.
+    listing_due: Instant,
+    /// The configuration version in the last [`Record::InForce`].
+    recorded_version: u64,
+    /// Counters of its traffic and work.
     pub counts: Counts,
 }
 
 impl Node {
-    /// Returns how far its clock is ahead of the world's.
+    /// Returns how far its clock is ahead of the simulated clock.
     pub fn skew(&self) -> Duration {
         self.skew
     }
 }
 
-/// What a node sent.
+/// Counters of a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Messages to peers.
+    /// Messages sent to peers.
     pub messages: u64,
-    /// Their encoded size, in bytes.
+    /// Encoded size of these messages, in bytes.
     pub bytes: u64,
-    /// Rows read from the table.
+    /// Rows requested from the table.
     pub rows_read: u64,
-    /// Writes to the table.
+    /// Write operations sent to the table.
     pub writes: u64,
-    /// Orders to engines.
+    /// Orders sent to engines.
     pub orders: u64,
-    /// Reports asked of engines.
+    /// Reports requested from engines.
     pub probes: u64,
-    /// Events that its core handled.
+    /// Events handled by its core.
     pub events: u64,
-    /// Time that its core spent on them.
+    /// Real time that its core took to handle them.
     pub busy: Duration,
 }
 
-/// Several cores and everything around them.
+/// The simulated instances and their environment.
 pub struct World {
-    /// The time on the world's clock.
+    /// The current time on the simulated clock.
     pub now: Instant,
     /// The instances.
     pub nodes: Vec<Node>,
@@ -93,46 +94,51 @@
     pub platform: Platform,
     /// The upstreams.
     pub engines: Vec<Engine>,
-    /// What really happened, in order.
+    /// What happened, in order.
     pub records: Vec<(Instant, Record)>,
-    /// The promises, checked as each record is made.
+    /// Checks the invariants on each record as it is added.
     pub checker: check::Checker,
-    /// How messages between nodes are doubled and delayed.
+    /// How messages between nodes are duplicated and delayed.
     pub network: Network,
-    /// Directed pairs of nodes between which messages are lost.
+    /// Pairs `(from, to)` of nodes between which messages are lost.
     pub cuts: BTreeSet<(usize, usize)>,
     /// Nodes that cannot reach the platform.
     pub severed: BTreeSet<usize>,
-    /// How many of a hundred replies and messages arrive a second time, later.
+    /// Percentage of replies and messages that arrive a second time, later.
     pub duplicates: u64,
-    /// The answers that operators had, by ticket.
+    /// Answers to operators, by ticket.
     pub answers: BTreeMap<u64, Answer>,
-    asked: Vec<Asked>,
-    places: BTreeMap<(usize, key::Request), usize>,
+    caller_requests: Vec<CallerRequest>,
+    /// Indices into `caller_requests` of the requests that each node handles.
+    request_numbers: BTreeMap<(usize, key::Request), usize>,
+    /// The request at another node that forwarded a request.
     parents: BTreeMap<(usize, key::Request), (usize, key::Request)>,
+    /// Requests with a final answer, to detect a second one.
     finished: BTreeMap<(usize, key::Request), usize>,
+    /// The current attempt of each request.
     attempts: BTreeMap<(usize, key::Request), u64>,
     next_attempt: u64,
-    commanding: Option<(Ticket, Arc<str>)>,
+    /// The submission in the event that a core is handling.
+    current_submission: Option<(Ticket, Arc<str>)>,
     queue: Queue,
     rng: StdRng,
     next_ticket: u64,
     next_incarnation: u64,
 }
 
-/// The shortest and longest delay within a region, in microseconds.
+/// Range of the delay within a region, in microseconds.
 const LOCAL_DELAY_US: (u64, u64) = (100, 2_000);
 
-/// The shortest and longest delay between regions, in microseconds.
+/// Range of the delay between regions, in microseconds.
 const REMOTE_DELAY_US: (u64, u64) = (10_000, 40_000);
 
-/// The shortest and longest delay after which something arrives a second time, in microseconds.
+/// Range of the delay before a duplicate arrives, in microseconds.
 const DUPLICATE_DELAY_US: (u64, u64) = (100, 1_000_000);
 
-/// The longest lag of the instance list, in milliseconds.
+/// Upper bound of the lag of the list of upstreams, in milliseconds.
 const LIST_LAG_MS: u64 = 1_500;
 
-/// Ports of fake addresses start here; an instance is known by its port.
+/// Port of the first node; the port of an address identifies its node.
 const FIRST_PORT: u16 = 10_000;
 
 impl World {
@@ -150,13 +156,13 @@
             severed: BTreeSet::new(),
             duplicates: 0,
             answers: BTreeMap::new(),
-            asked: Vec::new(),
-            places: BTreeMap::new(),
+            caller_requests: Vec::new(),
+            request_numbers: BTreeMap::new(),
             parents: BTreeMap::new(),
             finished: BTreeMap::new(),
             attempts: BTreeMap::new(),
             next_attempt: 0,
-            commanding: None,
+            current_submission: None,
             queue: Queue::default(),
             rng: StdRng::seed_from_u64(seed),
             next_ticket: 0,
@@ -164,7 +170,7 @@
         }
     }
 
-    /// Starts a new node in a region and returns its number.
+    /// Adds a node in a region, starts it and returns its number.
     pub fn add_node(&mut self, region: &str) -> usize {
         let number = self.nodes.len();
         let address: SocketAddr = ([127, 0, 0, 1], FIRST_PORT + number as u16).into();
@@ -180,82 +186,84 @@
         self.nodes.push(Node {
             identity,
             core: None,
-            frozen: false,
+            paused: false,
             backlog: Vec::new(),
             skew: Duration::from_micros(self.rng.random_range(0..1_000_000)),
-            listed_at: Instant::ZERO,
-            version: 0,
+            listing_due: Instant::ZERO,
+            recorded_version: 0,
             counts: Counts::default(),
         });
         self.start(number);
         number
     }
 
-    /// Starts a node's process, with nothing kept from an earlier one.
+    /// Starts a node's process without any state of a previous one.
     pub fn start(&mut self, number: usize) {
         self.next_incarnation += 1;
         let node = &mut self.nodes[number];
         node.identity.incarnation = self.next_incarnation;
         node.core = Some(Core::new(node.identity.clone()));
-        node.frozen = false;
+        node.paused = false;
         node.backlog.clear();
-        node.version = 0;
+        node.recorded_version = 0;
         let incarnation = self.next_incarnation;
         let first = self.now + Duration::from_micros(self.rng.random_range(0..50_000));
         self.queue.push(first, Delivery::Tick { node: number, incarnation });
-        self.list_to(number);
+        self.send_listing(number);
     }
 
-    /// Kills a node's process: its connections close, and what it had in memory is lost.
+    /// Kills a node's process, which closes its connections and loses its state.
     pub fn kill(&mut self, number: usize) {
-        self.end(number, false);
+        self.end_process(number, false);
     }
 
-    fn end(&mut self, number: usize, graceful: bool) {
+    fn end_process(&mut self, number: usize, graceful: bool) {
         if self.nodes[number].core.take().is_none() {
             return;
         }
-        self.record(Record::Ended { node: number, graceful });
-        self.nodes[number].frozen = false;
+        self.record(Record::Exited { node: number, graceful });
+        self.nodes[number].paused = false;
         self.drop_runs_of(number);
-        self.lose_callers_of(number);
+        self.disconnect_callers_of(number);
     }
 
-    /// Asks a node to leave gracefully; its process ends once it has.
+    /// Requests a graceful shutdown of a node; its process exits once it is complete.
     pub fn stop(&mut self, number: usize) {
-        self.feed(number, Event::Shutdown);
+        self.handle_event(number, Event::Shutdown);
     }
 
-    /// Stops a node's process without ending it.
+    /// Pauses a node's process.
     pub fn freeze(&mut self, number: usize) {
-        if self.nodes[number].core.is_some() && !self.nodes[number].frozen {
-            self.nodes[number].frozen = true;
-            self.record(Record::Frozen(number));
+        if self.nodes[number].core.is_some() && !self.nodes[number].paused {
+            self.nodes[number].paused = true;
+            self.record(Record::Paused(number));
         }
     }
 
-    /// Lets a stopped process go on; its timer or what arrived meanwhile is handled first.
+    /// Resumes a paused process.
+    ///
+    /// With a probability of one half, it handles a tick before the events that arrived meanwhile.
     pub fn wake(&mut self, number: usize) {
-        if !self.nodes[number].frozen {
+        if !self.nodes[number].paused {
             return;
         }
-        self.nodes[number].frozen = false;
-        self.record(Record::Woken(number));
-        if self.draw(2) == 0 {
-            self.feed(number, Event::Tick);
+        self.nodes[number].paused = false;
+        self.record(Record::Resumed(number));
+        if self.random_below(2) == 0 {
+            self.handle_event(number, Event::Tick);
         }
         for event in std::mem::take(&mut self.nodes[number].backlog) {
-            self.feed(number, event);
+            self.handle_event(number, event);
         }
     }
 
-    /// Loses all messages between two nodes, in both directions.
+    /// Drops all messages between two nodes, in both directions.
     pub fn cut(&mut self, one: usize, other: usize) {
         self.cuts.insert((one, other));
         self.cuts.insert((other, one));
     }
 
-    /// Lets all messages through again.
+    /// Ends all faults of the network and of the platform.
     pub fn heal(&mut self) {
         self.cuts.clear();
         self.severed.clear();
@@ -263,47 +271,47 @@
         self.platform.faults = Faults::default();
     }
 
-    /// Adds an engine or service, and publishes the list.
+    /// Adds an engine or service, publishes the list of upstreams, and returns its number.
     pub fn add_engine(&mut self, engine: Engine) -> usize {
         self.engines.push(engine);
         self.publish();
         self.engines.len() - 1
     }
 
-    /// Publishes the list of upstreams as they are, which the nodes learn after a lag.
+    /// Publishes the current list of upstreams, which reaches each node after a random lag.
     pub fn publish(&mut self) {
         for node in 0..self.nodes.len() {
-            self.list_to(node);
+            self.send_listing(node);
         }
     }
 
-    fn list_to(&mut self, node: usize) {
+    fn send_listing(&mut self, node: usize) {
         let list: Vec<Listing> = self.engines.iter().map(|engine| engine.listing.clone()).collect();
         let lag = Duration::from_millis(self.rng.random_range(0..LIST_LAG_MS));
-        // A node polls the list, so it never sees an older one after a newer one.
-        let at = self.nodes[node].listed_at.max(self.now + lag);
-        self.nodes[node].listed_at = at;
+        // Nodes poll the list, so an older one never arrives after a newer one.
+        let at = self.nodes[node].listing_due.max(self.now + lag);
+        self.nodes[node].listing_due = at;
         let incarnation = self.nodes[node].identity.incarnation;
         let event = Event::Listed(list);
         self.queue.push(at, Delivery::Event { node, incarnation, event });
     }
 
-    /// Lets an upstream begin to leave, which the list shows after its lag.
+    /// Starts to drain an upstream, which nodes learn from the list.
     pub fn let_leave(&mut self, upstream: usize) {
         self.engines[upstream].listing.phase = Phase::Leaving;
-        self.record(Record::Leaving(upstream));
+        self.record(Record::DrainStarted(upstream));
         self.publish();
     }
 
-    /// Gives a node an operator's command and returns the ticket of the answer.
+    /// Sends a node an operator's command and returns the ticket of the answer.
     pub fn command(&mut self, node: usize, command: Command) -> u64 {
         self.next_ticket += 1;
         let ticket = Ticket(self.next_ticket);
-        self.feed(node, Event::Command { ticket, command });
+        self.handle_event(node, Event::Command { ticket, command });
         self.next_ticket
     }
 
-    /// Lets time pass.
+    /// Advances the simulated clock by `span`, delivering everything that is due.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while let Some((at, delivery)) = self.queue.pop_until(end) {
@@ -313,7 +321,7 @@
         self.now = end;
     }
 
-    /// Lets time pass until `done`, and returns whether that came about within `limit`.
+    /// Advances the simulated clock until `done` holds, and returns whether it did within `limit`.
     pub fn run_until(&mut self, limit: Duration, done: impl Fn(&Self) -> bool) -> bool {
         let end = self.now + limit;
         while !done(self) {
@@ -327,15 +335,18 @@
         true
     }
 
-    /// Draws a number below `bound` from the seed.
-    pub fn draw(&mut self, bound: u64) -> u64 {
+    /// Returns a random number below `bound`.
+    pub fn random_below(&mut self, bound: u64) -> u64 {
         self.rng.random_range(0..bound)
     }
 
-    /// Gives a node an event, unless it is dead; a frozen one gets it when it wakes.
-    pub fn feed(&mut self, number: usize, event: Event) {
+    /// Passes an event to a node's core and applies the effects.
+    ///
+    /// A node that is not running drops it. A paused one drops ticks and handles other events when it
+    /// resumes.
+    pub fn handle_event(&mut self, number: usize, event: Event) {
         let node = &mut self.nodes[number];
-        if node.frozen {
+        if node.paused {
             if !matches!(event, Event::Tick) {
                 node.backlog.push(event);
             }
@@ -348,39 +359,39 @@
             }
             _ => None,
         };
-        let began = std::time::Instant::now();
+        let started = std::time::Instant::now();
         let effects = core.handle(self.now + node.skew, event);
-        node.counts.busy += began.elapsed();
+        node.counts.busy += started.elapsed();
         node.counts.events += 1;
         let version = core.version();
         let done = core.is_done();
-        if version != node.version {
-            node.version = version;
+        if version != node.recorded_version {
+            node.recorded_version = version;
             let incarnation = node.identity.incarnation;
             self.record(Record::InForce { node: number, incarnation, version });
         }
-        self.commanding = command;
+        self.current_submission = command;
         for effect in effects {
-            self.carry_out(number, effect);
+            self.apply_effect(number, effect);
         }
-        self.commanding = None;
+        self.current_submission = None;
         if done {
-            self.end(number, true);
+            self.end_process(number, true);
         }
     }
 
     fn record(&mut self, record: Record) {
-        self.checker.take(self.now, &record);
+        self.checker.handle(self.now, &record);
         self.records.push((self.now, record));
     }
 
-    fn carry_out(&mut self, number: usize, effect: Effect) {
+    fn apply_effect(&mut self, number: usize, effect: Effect) {
         let incarnation = self.nodes[number].identity.incarnation;
         match effect {
             Effect::Send { address, message, .. } => self.send(number, address, message),
-            Effect::Table { ticket, operation } => self.ask_table(number, ticket, operation),
+            Effect::Table { ticket, operation } => self.submit_operation(number, ticket, operation),
             Effect::Put { ticket, key, value } => {
-                if let Some((Ticket(ticket), document)) = self.commanding.clone() {
+                if let Some((Ticket(ticket), document)) = self.current_submission.clone() {
                     let object = key.to_string();
                     self.record(Record::Submitted { ticket, object, document });
                 }
@@ -399,14 +410,14 @@
                     engine,
                     order,
                     fencing,
-                    taken_by: 0,
+                    engine_incarnation: 0,
                 };
                 self.queue.push(at, Delivery::Order(order));
             }
             Effect::Probe { upstream, address } => self.probe(number, upstream, address),
-            Effect::Request { request, step } => self.take_step(number, request, step),
+            Effect::Request { request, step } => self.apply_step(number, request, step),
             Effect::Answer { ticket, answer } => {
-                self.record(Record::Told { ticket: ticket.0, answer: answer.clone() });
+                self.record(Record::OperatorAnswered { ticket: ticket.0, answer: answer.clone() });
                 self.answers.insert(ticket.0, answer);
             }
             Effect::Decide(_) => {}
@@ -422,11 +433,11 @@
         node.identity.incarnation == incarnation && node.core.is_some()
     }
 
-    /// Lets an event arrive again, after others that were sent later.
-    fn duplicate(&mut self, node: usize, incarnation: u64, event: &Event) {
-        // A node polls the list and has no old one after a new one.
+    /// Schedules a second delivery of an event, which may arrive after events that were sent later.
+    fn maybe_duplicate(&mut self, node: usize, incarnation: u64, event: &Event) {
+        // Nodes poll the list, so an older one never arrives after a newer one.
         let is_reply = !matches!(event, Event::Listed(_));
-        if self.duplicates > 0 && is_reply && self.draw(100) < self.duplicates {
+        if self.duplicates > 0 && is_reply && self.random_below(100) < self.duplicates {
             let at = self.now + self.delay(DUPLICATE_DELAY_US);
             let event = event.clone();
             self.queue.push(at, Delivery::Event { node, incarnation, event });
@@ -439,39 +450,39 @@
                 if !self.is_alive(node, incarnation) {
                     return;
                 }
-                self.feed(node, Event::Tick);
+                self.handle_event(node, Event::Tick);
                 self.queue.push(self.now + TICK, Delivery::Tick { node, incarnation });
             }
             Delivery::Event { node, incarnation, event } => {
                 if self.nodes[node].identity.incarnation == incarnation {
-                    self.duplicate(node, incarnation, &event);
-                    self.feed(node, event);
+                    self.maybe_duplicate(node, incarnation, &event);
+                    self.handle_event(node, event);
                 }
             }
-            Delivery::Operation { node, incarnation, ticket, operation, since } => {
-                self.do_operation(node, incarnation, ticket, &operation, since);
+            Delivery::Operation { node, incarnation, ticket, operation, issued_at } => {
+                self.apply_operation(node, incarnation, ticket, &operation, issued_at);
             }
-            Delivery::Order(order) => self.do_order(order),
-            Delivery::OrderEnd(order) => self.end_order(order),
-            Delivery::Dispatch { place, version, dispatch, asked } => {
-                if self.is_alive(place.node, place.incarnation) {
-                    self.begin_run(place, version, &dispatch, asked);
+            Delivery::Order(order) => self.handle_order(order),
+            Delivery::OrderFinished(order) => self.finish_order(order),
+            Delivery::Dispatch { attempt, version, dispatch, caller_request } => {
+                if self.is_alive(attempt.node, attempt.incarnation) {
+                    self.start_run(attempt, version, &dispatch, caller_request);
                 }
             }
-            Delivery::RunEnd { upstream, run } => self.end_run(upstream, run),
-            Delivery::RunAnswer { place, end } => self.take_run_answer(place, end),
-            Delivery::Timeout(place) => self.time_out(place),
-            Delivery::Arrive { node, from, spec } => self.arrive_forwarded(node, from, spec),
+            Delivery::RunFinished { upstream, run } => self.finish_run(upstream, run),
+            Delivery::AttemptEnded { attempt, end } => self.end_attempt(attempt, end),
+            Delivery::Timeout(attempt) => self.time_out(attempt),
+            Delivery::Forward { node, from, spec } => self.deliver_forwarded(node, from, spec),
         }
     }
 }
 
-/// Returns the number of the node with a fake address.
+/// Returns the number of the node at an address.
 fn node_of(address: SocketAddr) -> usize {
     usize::from(address.port().saturating_sub(FIRST_PORT))
 }
 
-/// Returns the number of the upstream with a fake address.
+/// Returns the number of the upstream at an address.
 fn upstream_of(address: SocketAddr) -> usize {
     usize::from(address.port().saturating_sub(engine::FIRST_PORT))
 }
--- a/crates/standins/src/world/network.rs
+++ b/crates/standins/src/world/network.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes, lost, doubled and late.
+//! Delivery of messages between nodes, with loss, duplicates and delays.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,14 +9,14 @@
 use super::queue::Delivery;
 use super::{LOCAL_DELAY_US, REMOTE_DELAY_US, World, node_of};
 
-/// How messages between nodes are doubled and delayed.
+/// The faults of messages between nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Network {
-    /// How many of a hundred messages arrive twice.
+    /// Percentage of messages that arrive twice.
     pub doubled: u64,
-    /// How many of a hundred messages are late, and so overtaken by later ones.
+    /// Percentage of messages that are delayed, so that later ones may overtake them.
     pub delayed: u64,
-    /// How late they are at most.
+    /// Upper bound of the extra delay of such a message.
     pub delay: Duration,
 }
 
@@ -30,28 +30,28 @@
         if self.cuts.contains(&(from, to)) || to >= self.nodes.len() {
             return;
         }
-        if self.strikes(self.network.doubled) {
-            self.pass(from, to, message.clone());
+        if self.random_chance(self.network.doubled) {
+            self.push_message(from, to, message.clone());
         }
-        self.pass(from, to, message);
+        self.push_message(from, to, message);
     }
 
-    fn pass(&mut self, from: usize, to: usize, message: Message) {
+    fn push_message(&mut self, from: usize, to: usize, message: Message) {
         let local = self.nodes[from].identity.region == self.nodes[to].identity.region;
         let mut delay = self.delay(if local { LOCAL_DELAY_US } else { REMOTE_DELAY_US });
-        if self.strikes(self.network.delayed) {
+        if self.random_chance(self.network.delayed) {
             let longest = self.network.delay.as_micros() as u64;
             delay += self.delay((0, longest.max(1)));
         }
         let name = self.nodes[from].identity.name.clone();
         let event = Event::Message { from: name, message };
-        // A message is to whoever listens there, whatever its incarnation.
+        // A message is addressed to a node, not to one incarnation of it.
         let incarnation = self.nodes[to].identity.incarnation;
         self.queue.push(self.now + delay, Delivery::Event { node: to, incarnation, event });
     }
 
-    /// Draws whether something that happens to so many of a hundred happens now.
-    fn strikes(&mut self, percent: u64) -> bool {
-        percent > 0 && self.draw(100) < percent
+    /// Returns `true` with a probability given in percent.
+    fn random_chance(&mut self, percent: u64) -> bool {
+        percent > 0 && self.random_below(100) < percent
     }
 }
--- a/crates/standins/src/world/platform.rs
+++ b/crates/standins/src/world/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's table and objects.
+//! The platform: a table with conditional writes, and an object store.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,40 +12,40 @@
 use super::queue::Delivery;
 use super::{Record, World};
 
-/// The shortest and longest delay of an operation, in microseconds.
+/// Range of the delay of a request or reply, in microseconds.
 const DELAY_US: (u64, u64) = (1_000, 10_000);
 
-/// When a node gives up on an operation without a reply.
-const GIVE_UP: Duration = Duration::from_millis(1_500);
+/// Time after which a node stops waiting for the reply to an operation.
+const OPERATION_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How the platform misbehaves.
+/// The faults of the platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// The table does nothing and answers nothing.
+    /// The table neither applies nor answers operations.
     pub table_down: bool,
-    /// The table does what it is asked, and its replies are lost.
+    /// The table applies operations, but its replies are lost.
     pub replies_lost: bool,
-    /// Writes take effect this much later, after whoever asked has given up.
+    /// Extra delay before writes take effect, which the node may no longer wait for.
     pub writes_late: Option<Duration>,
-    /// Replies take this much longer, and whoever asked may have given up by then.
+    /// Extra time until a reply, which the node may no longer wait for.
     pub slow: Duration,
-    /// The object store does nothing.
+    /// The object store fails all reads and writes.
     pub objects_down: bool,
 }
 
 /// The platform.
 #[derive(Default)]
 pub struct Platform {
-    /// How it misbehaves.
+    /// Its faults.
     pub faults: Faults,
-    /// The rows of the table.
+    /// The rows of the table, by key.
     pub rows: BTreeMap<Arc<str>, Row>,
-    /// The objects.
+    /// The objects in the object store, by key.
     pub objects: BTreeMap<Arc<str>, Arc<str>>,
 }
 
 impl Platform {
-    fn carry_out(&mut self, operation: &Operation) -> Outcome {
+    fn apply(&mut self, operation: &Operation) -> Outcome {
         match operation {
             Operation::Read(keys) => {
                 Outcome::Rows(keys.iter().filter_map(|key| self.rows.get(key).cloned()).collect())
@@ -79,7 +79,7 @@
 }
 
 impl World {
-    pub(super) fn ask_table(&mut self, node: usize, ticket: Ticket, operation: Operation) {
+    pub(super) fn submit_operation(&mut self, node: usize, ticket: Ticket, operation: Operation) {
         let counts = &mut self.nodes[node].counts;
         match &operation {
             Operation::Read(keys) => counts.rows_read += keys.len() as u64,
@@ -90,53 +90,55 @@
         if faults.table_down || self.severed.contains(&node) {
             let outcome = Outcome::Unknown;
             let event = Event::Table { ticket, outcome };
-            self.queue.push(self.now + GIVE_UP, Delivery::Event { node, incarnation, event });
+            self.queue
+                .push(self.now + OPERATION_TIMEOUT, Delivery::Event { node, incarnation, event });
             return;
         }
-        let late = match operation {
+        let write_delay = match operation {
             Operation::Write(_) => faults.writes_late.unwrap_or_default(),
             Operation::Read(_) => Duration::ZERO,
         };
-        let delay = self.delay(DELAY_US) + late + faults.slow / 2;
-        let given_up = delay >= GIVE_UP;
-        if given_up {
+        let delay = self.delay(DELAY_US) + write_delay + faults.slow / 2;
+        let timed_out = delay >= OPERATION_TIMEOUT;
+        if timed_out {
             let event = Event::Table { ticket, outcome: Outcome::Unknown };
-            self.queue.push(self.now + GIVE_UP, Delivery::Event { node, incarnation, event });
+            self.queue
+                .push(self.now + OPERATION_TIMEOUT, Delivery::Event { node, incarnation, event });
         }
-        let ticket = (!given_up).then_some(ticket);
+        let ticket = (!timed_out).then_some(ticket);
         let delivery =
-            Delivery::Operation { node, incarnation, ticket, operation, since: self.now };
+            Delivery::Operation { node, incarnation, ticket, operation, issued_at: self.now };
         self.queue.push(self.now + delay, delivery);
     }
 
-    pub(super) fn do_operation(
+    pub(super) fn apply_operation(
         &mut self,
         node: usize,
         incarnation: u64,
         ticket: Option<Ticket>,
         operation: &Operation,
-        since: Instant,
+        issued_at: Instant,
     ) {
-        let outcome = self.platform.carry_out(operation);
+        let outcome = self.platform.apply(operation);
         if let (Operation::Write(writes), Outcome::Written) = (operation, &outcome) {
-            self.note_head(writes);
+            self.record_accepted_version(writes);
         }
-        // Whoever asked has given up already.
+        // The node has already seen a timeout.
         let Some(ticket) = ticket else { return };
         let faults = self.platform.faults;
-        let lost = faults.replies_lost || self.severed.contains(&node);
+        let reply_lost = faults.replies_lost || self.severed.contains(&node);
         let at = self.now + self.delay(DELAY_US) + faults.slow / 2;
-        let given_up = since + GIVE_UP;
-        let (outcome, at) = match lost || at >= given_up {
-            true => (Outcome::Unknown, given_up),
+        let deadline = issued_at + OPERATION_TIMEOUT;
+        let (outcome, at) = match reply_lost || at >= deadline {
+            true => (Outcome::Unknown, deadline),
             false => (outcome, at),
         };
         let event = Event::Table { ticket, outcome };
         self.queue.push(at, Delivery::Event { node, incarnation, event });
     }
 
-    /// Notes what a write accepted.
-    fn note_head(&mut self, writes: &[Write]) {
+    /// Records the configuration version that a write accepted, if any.
+    fn record_accepted_version(&mut self, writes: &[Write]) {
         let head = writes.iter().find(|write| &*write.key == HEAD);
         let Some(value) = head.and_then(|write| write.value.as_deref()) else { return };
         let Ok(Mark { version, token }) = serde_json::from_str(value) else { return };
@@ -166,7 +168,7 @@
         self.reply(node, event);
     }
 
-    /// Sends the platform's reply to a node.
+    /// Sends a reply of the object store to a node.
     fn reply(&mut self, node: usize, event: Event) {
         let incarnation = self.nodes[node].identity.incarnation;
         let at = self.now + self.delay(DELAY_US);
--- a/crates/standins/src/world/queue.rs
+++ b/crates/standins/src/world/queue.rs
@@ -1,4 +1,4 @@
-//! What is under way, in order of arrival.
+//! The queue of scheduled deliveries, ordered by time.
 
 use std::collections::BTreeMap;
 
@@ -10,61 +10,61 @@
 
 use super::engine::Order;
 
-/// Something under way.
+/// A scheduled delivery.
 pub enum Delivery {
-    /// A node's time passes.
+    /// A timer tick of a node.
     Tick { node: usize, incarnation: u64 },
     /// An event for a node.
     Event { node: usize, incarnation: u64, event: Event },
-    /// An operation for the table; without a ticket once whoever asked has given up.
+    /// An operation for the table; `ticket` is `None` if the node has already seen a timeout.
     Operation {
         node: usize,
         incarnation: u64,
         ticket: Option<Ticket>,
         operation: Operation,
-        since: Instant,
+        issued_at: Instant,
     },
     /// An order for an engine.
     Order(Order),
-    /// An order that an engine has been carrying out.
-    OrderEnd(Order),
+    /// The end of an order in progress on an engine.
+    OrderFinished(Order),
     /// A request for an upstream.
-    Dispatch { place: Place, version: u64, dispatch: Dispatch, asked: usize },
+    Dispatch { attempt: Attempt, version: u64, dispatch: Dispatch, caller_request: usize },
     /// The end of a run on an upstream.
-    RunEnd { upstream: usize, run: u64 },
-    /// The end of an attempt as its node sees it.
-    RunAnswer { place: Place, end: End },
-    /// The end of the time that a node waits for an attempt.
-    Timeout(Place),
-    /// A request that another node passed on.
-    Arrive { node: usize, from: Place, spec: Spec },
+    RunFinished { upstream: usize, run: u64 },
+    /// The result of an attempt, for its node.
+    AttemptEnded { attempt: Attempt, end: AttemptEnd },
+    /// The deadline of an attempt.
+    Timeout(Attempt),
+    /// A request that another node forwarded.
+    Forward { node: usize, from: Attempt, spec: Spec },
 }
 
-/// An attempt at a request.
+/// An attempt to dispatch or forward a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
-    /// The node.
+pub struct Attempt {
+    /// The node that makes it.
     pub node: usize,
     /// The node's incarnation.
     pub incarnation: u64,
     /// The request.
     pub request: key::Request,
-    /// The number of the attempt, unique in the world.
-    pub attempt: u64,
+    /// Its number, unique in the world.
+    pub number: u64,
 }
 
-/// How an attempt ended on an upstream.
+/// The result of an attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub enum End {
-    /// With the whole answer, by this served name.
-    Whole(String),
-    /// In the middle of an answer of which the caller has a part.
-    BrokenOff,
-    /// Before the caller had any of it.
+pub enum AttemptEnd {
+    /// A complete answer, with the served name that it came from.
+    Complete(String),
+    /// The connection broke after the caller got a part of the answer.
+    Interrupted,
+    /// A failure before the caller got any part of the answer.
     Failed(Failure),
 }
 
-/// All that is under way.
+/// The scheduled deliveries, ordered by time and then by insertion.
 #[derive(Default)]
 pub struct Queue {
     entries: BTreeMap<(Instant, u64), Delivery>,
@@ -78,7 +78,7 @@
         self.entries.insert((at, self.next), delivery);
     }
 
-    /// Takes the next delivery that is due by `end`.
+    /// Removes and returns the next delivery that is due by `end`.
     pub fn pop_until(&mut self, end: Instant) -> Option<(Instant, Delivery)> {
         let entry = self.entries.first_entry()?;
         if entry.key().0 > end {
--- a/crates/standins/src/world/record.rs
+++ b/crates/standins/src/world/record.rs
@@ -1,76 +1,76 @@
-//! What really happened, as the checker sees it.
+//! The records of what happened, as input of the checker.
 
 use orioleroute::operator::Answer;
 use orioleroute::prelude::Arc;
 
-use super::{Asked, Outcome};
+use super::{CallerRequest, Outcome};
 
-/// Something that really happened, for the checker.
+/// Something that happened in the simulation, observed from outside of the cores.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
-    /// A caller asked.
-    Asked(usize, Asked),
-    /// A caller had a final answer.
+    /// A caller sent the request with this number.
+    Asked(usize, CallerRequest),
+    /// The caller of the request with this number got its final answer.
     Answered(usize, Outcome),
-    /// An upstream began to run a request.
+    /// An upstream started to run a request.
     Began {
-        /// The caller's request.
-        asked: usize,
+        /// The number of the caller's request.
+        caller_request: usize,
         /// The upstream.
         upstream: usize,
         /// The served name.
         name: String,
         /// The node that sent it.
         node: usize,
-        /// The configuration version in force at that node.
+        /// The active configuration version of that node when it sent the request.
         version: u64,
     },
-    /// An engine took an order, which it then carries out.
+    /// An engine accepted an order and started it.
     Took {
         /// The engine.
         upstream: usize,
-        /// The fencing number.
+        /// The fencing token of the order.
         fencing: u64,
     },
-    /// An engine did an order.
+    /// An engine completed an order.
     Ordered {
         /// The engine.
         upstream: usize,
-        /// The node that gave the order.
+        /// The node that issued the order.
         node: usize,
         /// Whether it was a load.
         load: bool,
         /// The served name.
         name: String,
-        /// The requests that ran on the revision at that moment.
+        /// The number of requests that ran on the revision at that moment.
         running: u32,
     },
-    /// An upstream began to leave.
-    Leaving(usize),
-    /// A node took a submission and stored it as this object.
+    /// An upstream started to drain.
+    DrainStarted(usize),
+    /// A node handled a submission and stored the document as an object.
     Submitted {
         /// The ticket of the operator's command.
         ticket: u64,
         /// The object's key.
         object: String,
-        /// The document, as the operator gave it.
+        /// The document, as submitted.
         document: Arc<str>,
     },
-    /// An operator was told something.
-    Told {
+    /// An operator got an answer.
+    OperatorAnswered {
         /// The ticket of the operator's command.
         ticket: u64,
         /// The answer.
         answer: Answer,
     },
-    /// The table's row of the accepted version was written.
+    /// The table row that holds the accepted version was written.
     Head {
         /// The version.
         version: u64,
         /// The key of the object that holds the document.
         object: String,
     },
-    /// A node's configuration version changed.
+    /// A node's active configuration version changed.
     InForce {
         /// The node.
         node: usize,
@@ -79,22 +79,22 @@
         /// The version.
         version: u64,
     },
-    /// A node's process was stopped without ending.
-    Frozen(usize),
-    /// A stopped process went on.
-    Woken(usize),
-    /// A node's process ended.
-    Ended {
+    /// A node's process was paused.
+    Paused(usize),
+    /// A paused process resumed.
+    Resumed(usize),
+    /// A node's process exited.
+    Exited {
         /// The node.
         node: usize,
-        /// Whether it ended by itself, after it was asked to leave.
+        /// Whether it exited by itself after a graceful shutdown.
         graceful: bool,
     },
-    /// Every fault was mended a good while ago.
-    Quiet {
-        /// The configuration version in force at each live node.
+    /// All faults ended, and the time for recovery has passed.
+    Recovered {
+        /// The active configuration version of each running node.
         versions: Vec<(usize, u64)>,
-        /// What engines hold that the document does not have, by engine.
-        strays: Vec<(usize, String)>,
+        /// Each engine and served name that it holds but the document does not list.
+        unlisted: Vec<(usize, String)>,
     },
 }
