--- a/crates/standins/examples/control_load.rs
+++ b/crates/standins/examples/control_load.rs
@@ -1,7 +1,7 @@
-//! What control costs a node: messages, bytes, table operations and processor time.
+//! Measures the control-plane load of a node: messages, bytes, table operations and processor time.
 //!
-//! Runs many cores in one process on the in-memory fakes and counts; see `docs/CAPACITY.md`,
-//! section "Control". Only the time inside the cores is measured, not that of the fakes.
+//! Runs many cores in one process with in-memory fakes and counts their operations; see
+//! `docs/CAPACITY.md`, section "Control". The processor time includes only the cores, not the fakes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,30 +11,30 @@
 use serde_json::json;
 use standins::world::{Counts, Engine, Record, World};
 
-/// Regions at the target size.
+/// The number of regions at the target size.
 const REGIONS: usize = 5;
 
-/// Base models at the target size.
+/// The number of base models at the target size.
 const MODELS: usize = 7;
 
-/// Upstreams for each node at the target size.
+/// The number of upstreams per node at the target size.
 const UPSTREAMS_PER_NODE: usize = 33;
 
-/// Adapters and nodes at the target size.
+/// The numbers of adapters and nodes at the target size.
 const ADAPTERS: usize = 24_000;
 const NODES: usize = 360;
 
-/// Adapters that an engine holds.
+/// The number of adapter slots of an engine.
 const SLOTS: usize = 8;
 
-/// Between two changes of the configuration, at 20,000 a day.
-const CHANGE_EVERY: Duration = Duration::from_millis(4_320);
+/// The interval between configuration changes: 20,000 changes per day.
+const CHANGE_INTERVAL: Duration = Duration::from_millis(4_320);
 
-/// The longest wait for nodes to join or for a version to be in force.
+/// The longest wait until the nodes have joined or a version is active everywhere.
 const TIMEOUT: Duration = Duration::from_secs(120);
 
-/// What one run measures.
-struct Load {
+/// The parameters of one run.
+struct Run {
     nodes: usize,
     upstreams: usize,
     adapters: usize,
@@ -49,31 +49,32 @@
     options.optopt("a", "adapters", "adapters; in proportion if left out", "COUNT");
     options.optopt("s", "seconds", "seconds of the steady state", "COUNT");
     options.optopt("c", "changes", "changes of the configuration", "COUNT");
-    let given = options.parse(std::env::args().skip(1)).unwrap_or_else(|error| {
+    let matches = options.parse(std::env::args().skip(1)).unwrap_or_else(|error| {
         eprintln!("{}", options.usage(&error.to_string()));
         std::process::exit(2);
     });
-    let number = |name: &str| given.opt_str(name).and_then(|text| text.parse().ok());
-    let nodes = given.opt_str("nodes").unwrap_or_else(|| "3,9,30,90".to_owned());
+    let number = |name: &str| matches.opt_str(name).and_then(|text| text.parse().ok());
+    let nodes = matches.opt_str("nodes").unwrap_or_else(|| "3,9,30,90".to_owned());
     println!("{HEADER}");
     for nodes in nodes.split(',').filter_map(|text| text.parse().ok()) {
-        let load = Load {
+        let run = Run {
             nodes,
             upstreams: number("upstreams").unwrap_or(nodes * UPSTREAMS_PER_NODE),
             adapters: number("adapters").unwrap_or(ADAPTERS * nodes / NODES),
             seconds: number("seconds").unwrap_or(20) as u64,
             changes: number("changes").unwrap_or(10) as u64,
         };
-        load.run();
+        run.run();
     }
 }
 
-/// The columns; rates are for a node and second, in force is from acceptance.
+/// The table's header. Rates are per node and second; the times until a version is in force start at its
+/// acceptance.
 const HEADER: &str = "| nodes | adapters | phase | messages | bytes | rows read | writes | probes | \
      events | core, ms | in force, ms: median | most | memory, MB |\n\
      |---|---|---|---|---|---|---|---|---|---|---|---|---|";
 
-impl Load {
+impl Run {
     fn run(&self) {
         let mut world = self.world();
         let before = resident_mb();
@@ -100,13 +101,13 @@
         let mut accepted = 0;
         let changing = self.measure(&mut world, |world| {
             for change in 1..=self.changes {
-                let next = world.now + CHANGE_EVERY;
+                let next = world.now + CHANGE_INTERVAL;
                 accepted += u64::from(self.submit(world, change));
                 world.run(next.since(world.now));
             }
         });
-        let spread = spread(&world, start);
-        self.print("changing", &changing, &spread, memory);
+        let activation_delays = activation_delays(&world, start);
+        self.print("changing", &changing, &activation_delays, memory);
         if accepted < self.changes {
             println!("only {accepted} of {} changes came into force everywhere", self.changes);
         }
@@ -125,7 +126,7 @@
         world
     }
 
-    /// Submits a change and returns whether it came into force everywhere.
+    /// Submits a change and returns whether it became active on all nodes.
     fn submit(&self, world: &mut World, change: u64) -> bool {
         let document = self.document(change).into();
         let node = change as usize % self.nodes;
@@ -159,13 +160,13 @@
         json!({ "format": 1, "models": models, "pools": pools, "adapters": adapters }).to_string()
     }
 
-    /// Returns what a node did in a second on average while `act` ran.
-    fn measure(&self, world: &mut World, act: impl FnOnce(&mut World)) -> Rates {
+    /// Returns the average rates per node and second while `action` ran.
+    fn measure(&self, world: &mut World, action: impl FnOnce(&mut World)) -> Rates {
         let since = world.now;
         for node in &mut world.nodes {
             node.counts = Counts::default();
         }
-        act(world);
+        action(world);
         let node_seconds = world.now.since(since).as_secs_f64() * self.nodes as f64;
         let sum = |count: fn(&Counts) -> f64| {
             world.nodes.iter().map(|node| count(&node.counts)).sum::<f64>() / node_seconds
@@ -181,9 +182,9 @@
         }
     }
 
-    fn print(&self, phase: &str, rates: &Rates, spread: &[Duration], memory: f64) {
-        let millis = |at: usize| match spread.get(at) {
-            Some(span) => span.as_millis().to_string(),
+    fn print(&self, phase: &str, rates: &Rates, activation_delays: &[Duration], memory: f64) {
+        let millis = |at: usize| match activation_delays.get(at) {
+            Some(delay) => delay.as_millis().to_string(),
             None => "-".to_owned(),
         };
         println!(
@@ -197,13 +198,13 @@
             rates.probes,
             rates.events,
             rates.busy_ms,
-            millis(spread.len() / 2),
-            millis(spread.len().saturating_sub(1)),
+            millis(activation_delays.len() / 2),
+            millis(activation_delays.len().saturating_sub(1)),
         );
     }
 }
 
-/// What a node does in a second.
+/// The operations of a node per second.
 struct Rates {
     messages: f64,
     bytes: f64,
@@ -218,26 +219,26 @@
     format!("region-{number}")
 }
 
-/// Returns the sorted times from acceptance to in force, for each version and node.
-fn spread(world: &World, since: Instant) -> Vec<Duration> {
+/// Returns the sorted delays from acceptance to activation of each version on each node.
+fn activation_delays(world: &World, since: Instant) -> Vec<Duration> {
     let mut accepted = BTreeMap::new();
-    let mut spans = Vec::new();
+    let mut delays = Vec::new();
     for (at, record) in world.records.iter().filter(|(at, _)| *at >= since) {
         match record {
             Record::Head { version, .. } => {
                 accepted.insert(*version, *at);
             }
             Record::InForce { version, .. } => {
-                spans.extend(accepted.get(version).map(|since| at.since(*since)));
+                delays.extend(accepted.get(version).map(|accepted_at| at.since(*accepted_at)));
             }
             _ => {}
         }
     }
-    spans.sort();
-    spans
+    delays.sort();
+    delays
 }
 
-/// Returns the resident memory of this process, in megabytes; zero where the system does not say.
+/// Returns the resident memory of this process in megabytes, or zero if `/proc` does not provide it.
 fn resident_mb() -> f64 {
     const PAGE_BYTES: f64 = 4_096.0;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
--- a/crates/standins/examples/demo.rs
+++ b/crates/standins/examples/demo.rs
@@ -1,6 +1,6 @@
-//! Shows the whole path on separate processes: a platform, two engines, a plain service and three
-//! nodes. A document is submitted and shown in force everywhere, a caller asks which instance to
-//! use, and an answer is streamed. Ends by itself.
+//! Demonstrates the complete request path with separate processes: a platform, two engines, a plain
+//! service and three nodes. It submits a document and waits until all nodes use it, asks for the
+//! instance to call, streams a response and calls the service, then stops the nodes and exits.
 
 use std::io::{Error, Result, Write};
 use std::net::SocketAddr;
@@ -37,24 +37,24 @@
         .map(|name| node(&program, name, REGION, platform_address, &[]))
         .collect::<Result<Vec<Process>>>()?;
     println!("started a platform, two engines, a plain service and three nodes");
-    until("three members", || {
+    until("all three nodes to join", || {
         nodes.iter().all(|node| status(node).is_some_and(|status| status.instances.len() == 3))
     });
     submit(&nodes[0])?;
-    let spread = until("in force everywhere", || {
+    let propagation = until("the document to be active on all nodes", || {
         nodes.iter().all(|node| status(node).is_some_and(|status| status.version == 1))
     });
-    until("both engines hold", || {
-        let known = nodes.iter().filter_map(status).flat_map(|status| status.upstreams);
-        known.filter(|upstream| upstream.holding == Holding::Holds).count() == 2
+    until("both engines to be held by a node", || {
+        let upstreams = nodes.iter().filter_map(status).flat_map(|status| status.upstreams);
+        upstreams.filter(|upstream| upstream.holding == Holding::Holds).count() == 2
     });
-    println!("in force on all nodes {spread:?} after the operator was told");
-    until("ready everywhere", || nodes.iter().all(is_ready));
-    run_tool("status", &nodes[1])?;
+    println!("in force on all nodes {propagation:?} after the operator was told");
+    until("all nodes to be ready", || nodes.iter().all(is_ready));
+    run_oriolectl("status", &nodes[1])?;
     let home = ask_route(&nodes[2])?;
     println!("a caller was told to use {home} for the adapter milk-texturing");
     stream(home)?;
-    book(home)?;
+    book_twice(home)?;
     for node in &nodes {
         node.signal(Signal::SIGTERM)?;
     }
@@ -82,7 +82,7 @@
 }
 
 fn only_address(process: &Process) -> Result<SocketAddr> {
-    process.address("").ok_or_else(|| Error::other("no address"))
+    process.address("").ok_or_else(|| Error::other("the process printed no address"))
 }
 
 fn document() -> Value {
@@ -102,12 +102,12 @@
     let mut file = std::env::temp_dir();
     file.push(format!("orioleroute-demo-{}.json", std::process::id()));
     std::fs::File::create(&file)?.write_all(document().to_string().as_bytes())?;
-    let done = tool(node).arg("submit").arg(&file).status();
+    let exit = oriolectl(node).arg("submit").arg(&file).status();
     std::fs::remove_file(&file)?;
-    if done?.success() { Ok(()) } else { Err(Error::other("the document was not accepted")) }
+    if exit?.success() { Ok(()) } else { Err(Error::other("the document was not accepted")) }
 }
 
-fn tool(node: &Process) -> Command {
+fn oriolectl(node: &Process) -> Command {
     let address = node.address("operators").map(|address| address.to_string());
     let program = binary("oriolectl").unwrap_or_else(|_| "oriolectl".into());
     let mut command = Command::new(program);
@@ -115,13 +115,15 @@
     command
 }
 
-fn run_tool(verb: &str, node: &Process) -> Result<()> {
-    let done = tool(node).arg(verb).status()?;
-    if done.success() { Ok(()) } else { Err(Error::other(format!("{verb} failed"))) }
+fn run_oriolectl(command: &str, node: &Process) -> Result<()> {
+    let exit = oriolectl(node).arg(command).status()?;
+    if exit.success() { Ok(()) } else { Err(Error::other(format!("oriolectl {command} failed"))) }
 }
 
 fn ask_route(node: &Process) -> Result<SocketAddr> {
-    let address = node.address("callers").ok_or_else(|| Error::other("no address"))?;
+    let address = node
+        .address("callers")
+        .ok_or_else(|| Error::other("the node printed no address for callers"))?;
     let path = format!("/route?adapter=milk-texturing&region={REGION}");
     let mut home = None;
     until("a route", || {
@@ -130,7 +132,7 @@
         home = routes.and_then(|routes| routes["addresses"][0].as_str()?.parse().ok());
         home.is_some()
     });
-    home.ok_or_else(|| Error::other("no route"))
+    home.ok_or_else(|| Error::other("no route to the adapter"))
 }
 
 fn stream(home: SocketAddr) -> Result<()> {
@@ -146,7 +148,7 @@
         let mut answer = Pool::new().open(home, call).await.map_err(Error::other)?;
         let header = |name: &str| {
             let value = answer.headers.get(name);
-            value.and_then(|value| value.to_str().ok()).unwrap_or("nobody").to_owned()
+            value.and_then(|value| value.to_str().ok()).unwrap_or("unknown").to_owned()
         };
         println!(
             "status {}, answered by {} version {}",
@@ -158,11 +160,11 @@
             let part = part.map_err(Error::other)?;
             print!("{:>8.1?} {}", start.elapsed(), String::from_utf8_lossy(&part));
         }
-        if answer.status.is_success() { Ok(()) } else { Err(Error::other("no answer")) }
+        if answer.status.is_success() { Ok(()) } else { Err(Error::other("the request failed")) }
     })
 }
 
-fn book(home: SocketAddr) -> Result<()> {
+fn book_twice(home: SocketAddr) -> Result<()> {
     let call = || {
         Call::new(Method::POST, "/services/bookings/enrol")
             .header("idempotency-key", "booking-1")
--- a/crates/standins/examples/engine.rs
+++ b/crates/standins/examples/engine.rs
@@ -1,4 +1,4 @@
-//! Runs the stand-in of a model engine as a process.
+//! Runs the engine stand-in as a process: `engine [options]`.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 fn main() -> std::io::Result<()> {
     let mut options = getopts::Options::new();
     options.optopt("", "listen", "address to listen on", "ADDRESS");
-    options.optopt("", "slots", "adapters held at a time", "COUNT");
+    options.optopt("", "slots", "adapters loaded at the same time", "COUNT");
     options.optopt("", "load-ms", "time of a load", "MILLISECONDS");
     options.optopt("", "token-ms", "time between two tokens", "MILLISECONDS");
-    options.optflag("", "ignore-fencing", "obey orders with old fencing numbers");
+    options.optflag("", "ignore-fencing", "accept orders with outdated fencing tokens");
     let matches = match options.parse(std::env::args().skip(1)) {
         Ok(matches) => matches,
         Err(error) => {
--- a/crates/standins/examples/load/main.rs
+++ b/crates/standins/examples/load/main.rs
@@ -1,5 +1,5 @@
-//! The load of callers: figures of one node in a system of its own, or a steady load on a system
-//! that runs already. `docs/FIGURES.md` tells how to read what it prints.
+//! Generates load: either benchmarks one node in a system that it starts, or sends a steady load to
+//! a system that is already running. `docs/FIGURES.md` explains the output.
 
 mod figures;
 mod steady;
@@ -11,11 +11,11 @@
 
 use orioleroute_wire::runtime;
 
-const BRIEF: &str = "Usage: load figures
+const USAGE: &str = "Usage: load figures
        load steady --address IP:PORT --model NAME [options]
 
-figures starts a system of its own and compares it with calling the engine directly.
-steady sends requests at a constant rate, whether answers come or not.";
+figures starts a system and compares requests through its node with direct calls of the engine.
+steady sends requests at a constant rate, without waiting for responses.";
 
 fn main() -> std::io::Result<()> {
     let mut options = getopts::Options::new();
@@ -31,7 +31,7 @@
         Err(error) => fail(&error.to_string()),
     };
     if matches.opt_present("help") {
-        println!("{}", options.usage(BRIEF));
+        println!("{}", options.usage(USAGE));
         return Ok(());
     }
     let number = |name: &str, default: u32| match matches.opt_get_default(name, default) {
@@ -51,13 +51,13 @@
             runtime::block_on(steady::run(steady::Plan {
                 addresses,
                 models,
-                rate: number("rate", 50),
-                time: Duration::from_secs(number("seconds", 10).into()),
+                requests_per_s: number("rate", 50),
+                duration: Duration::from_secs(number("seconds", 10).into()),
                 tokens: number("tokens", 20),
             }));
             Ok(())
         }
-        _ => fail("name figures or steady; --help tells more"),
+        _ => fail("expected the command `figures` or `steady`; see --help"),
     }
 }
 
--- a/crates/standins/examples/load/steady.rs
+++ b/crates/standins/examples/load/steady.rs
@@ -1,4 +1,4 @@
-//! A steady load: requests start at a constant rate, whether answers come or not.
+//! An open-loop load: requests start at a constant rate, independently of the responses.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -11,32 +11,32 @@
 
 use crate::stream::{self, Outcome};
 
-/// Between two progress lines.
-const PROGRESS: Duration = Duration::from_secs(1);
+/// The interval between progress lines.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The longest wait for the last answers.
-const REST: Duration = Duration::from_secs(60);
+/// The longest wait for outstanding responses after the last request.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What to send.
+/// The load to send.
 pub struct Plan {
-    /// The nodes, taken in turn.
+    /// The caller addresses of the nodes, used in turn.
     pub addresses: Vec<SocketAddr>,
-    /// The adapters, taken in turn.
+    /// The names of the adapters, used in turn.
     pub models: Vec<String>,
-    /// The requests a second.
-    pub rate: u32,
-    /// How long requests are started.
-    pub time: Duration,
-    /// The tokens of an answer.
+    /// The requests started per second.
+    pub requests_per_s: u32,
+    /// The time during which requests are started.
+    pub duration: Duration,
+    /// The number of tokens per response.
     pub tokens: u32,
 }
 
 struct Tally {
     started: u64,
     ended: u64,
-    whole: u64,
-    first_us: Histogram<u64>,
-    whole_us: Histogram<u64>,
+    completed: u64,
+    first_token_us: Histogram<u64>,
+    total_us: Histogram<u64>,
     errors: BTreeMap<String, u64>,
 }
 
@@ -46,35 +46,37 @@
         Self {
             started: 0,
             ended: 0,
-            whole: 0,
-            first_us: histogram(),
-            whole_us: histogram(),
+            completed: 0,
+            first_token_us: histogram(),
+            total_us: histogram(),
             errors: BTreeMap::new(),
         }
     }
 
-    fn take(&mut self, outcome: Outcome) {
+    fn record(&mut self, outcome: Outcome) {
         self.ended += 1;
         if let Some(error) = outcome.error {
             *self.errors.entry(error).or_default() += 1;
             return;
         }
-        self.whole += 1;
-        let _ = self.first_us.record(outcome.first.unwrap_or_default().as_micros() as u64);
-        let _ = self.whole_us.record(outcome.whole.as_micros() as u64);
+        self.completed += 1;
+        let _ = self
+            .first_token_us
+            .record(outcome.time_to_first_token.unwrap_or_default().as_micros() as u64);
+        let _ = self.total_us.record(outcome.total.as_micros() as u64);
     }
 }
 
-/// Sends the load and prints what came of it.
+/// Sends the load and prints a summary of the results.
 pub async fn run(plan: Plan) {
     let tally = Rc::new(RefCell::new(Tally::new()));
     let pool = Pool::new();
     let start = Instant::now();
-    let gap = Duration::from_secs(1) / plan.rate;
-    let mut shown = Duration::ZERO;
+    let interval = Duration::from_secs(1) / plan.requests_per_s;
+    let mut last_progress = Duration::ZERO;
     for index in 0_u32.. {
-        let due = gap * index;
-        if due >= plan.time {
+        let due = interval * index;
+        if due >= plan.duration {
             break;
         }
         monoio::time::sleep(due.saturating_sub(start.elapsed())).await;
@@ -84,16 +86,16 @@
         let (shared, pool, tokens) = (tally.clone(), pool.clone(), plan.tokens);
         monoio::spawn(async move {
             let outcome = stream::run(&pool, address, &model, tokens).await;
-            shared.borrow_mut().take(outcome);
+            shared.borrow_mut().record(outcome);
         });
-        if due >= shown + PROGRESS {
-            shown = due;
+        if due >= last_progress + PROGRESS_INTERVAL {
+            last_progress = due;
             progress(&tally.borrow(), start);
         }
     }
-    let end = Instant::now() + REST;
-    while tally.borrow().ended < tally.borrow().started && Instant::now() < end {
-        monoio::time::sleep(PROGRESS / 10).await;
+    let drain_deadline = Instant::now() + DRAIN_TIMEOUT;
+    while tally.borrow().ended < tally.borrow().started && Instant::now() < drain_deadline {
+        monoio::time::sleep(PROGRESS_INTERVAL / 10).await;
     }
     report(&tally.borrow(), start.elapsed());
 }
@@ -104,18 +106,23 @@
         "{:>4} s  started {}  whole {}  failed {errors}",
         start.elapsed().as_secs(),
         tally.started,
-        tally.whole
+        tally.completed
     );
 }
 
-fn report(tally: &Tally, time: Duration) {
-    println!("requests      {} started, {} answered whole", tally.started, tally.whole);
+fn report(tally: &Tally, elapsed: Duration) {
+    println!("requests      {} started, {} answered whole", tally.started, tally.completed);
     println!("unanswered    {}", tally.started - tally.ended);
-    println!("goodput       {:.1} whole answers a second", tally.whole as f64 / time.as_secs_f64());
+    println!(
+        "goodput       {:.1} whole answers a second",
+        tally.completed as f64 / elapsed.as_secs_f64()
+    );
     for (error, count) in &tally.errors {
         println!("error         {count} x {error}");
     }
-    for (name, histogram) in [("first token", &tally.first_us), ("whole answer", &tally.whole_us)] {
+    for (name, histogram) in
+        [("first token", &tally.first_token_us), ("whole answer", &tally.total_us)]
+    {
         let at = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1e3;
         println!(
             "{name:<13} p50 {:.2} ms  p95 {:.2} ms  p99 {:.2} ms  max {:.2} ms",
--- a/crates/standins/examples/load/stream.rs
+++ b/crates/standins/examples/load/stream.rs
@@ -1,4 +1,4 @@
-//! One streamed request, with the times at which its tokens came.
+//! A streamed request that measures the arrival of its tokens.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -7,25 +7,25 @@
 use orioleroute_wire::client::{Call, Pool};
 use serde_json::json;
 
-/// What a request came to.
+/// The result of a request.
 pub struct Outcome {
-    /// The time to the first token; `None` if none came.
-    pub first: Option<Duration>,
-    /// The time to the end.
-    pub whole: Duration,
-    /// The tokens that came.
+    /// The time to the first token, or `None` if there was none.
+    pub time_to_first_token: Option<Duration>,
+    /// The time to the end of the response.
+    pub total: Duration,
+    /// The number of tokens received.
     pub tokens: u64,
-    /// The time from the sending of each token by the engine to its arrival, in microseconds.
+    /// The delay of each token from the engine's send to its arrival, in microseconds.
     pub delays_us: Vec<u64>,
-    /// What went wrong, if anything.
+    /// The reason of a failure, if the request failed.
     pub error: Option<String>,
 }
 
 impl Outcome {
     fn failed(start: Instant, error: impl Into<String>) -> Self {
         Self {
-            first: None,
-            whole: start.elapsed(),
+            time_to_first_token: None,
+            total: start.elapsed(),
             tokens: 0,
             delays_us: Vec::new(),
             error: Some(error.into()),
@@ -33,7 +33,7 @@
     }
 }
 
-/// Asks for `tokens` tokens of `model` and reads them as they come.
+/// Requests `tokens` tokens of `model` and reads them as they arrive.
 pub async fn run(pool: &Pool, address: SocketAddr, model: &str, tokens: u32) -> Outcome {
     let start = Instant::now();
     let body = json!({ "model": model, "prompt": "p", "max_tokens": tokens, "stream": true });
@@ -52,7 +52,7 @@
             Ok(part) => part,
             Err(_) => break,
         };
-        outcome.first.get_or_insert_with(|| start.elapsed());
+        outcome.time_to_first_token.get_or_insert_with(|| start.elapsed());
         let text = String::from_utf8_lossy(&part);
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         for sent in sent_us(&text) {
@@ -61,17 +61,17 @@
         }
         last = part.to_vec();
     }
-    outcome.whole = start.elapsed();
+    outcome.total = start.elapsed();
     if last.ends_with(b"[DONE]\n\n") {
         outcome.error = None;
     }
     outcome
 }
 
-/// Returns the times at which the tokens of a part were sent.
+/// Returns the send times of the tokens in a part of the response, in microseconds since the Unix epoch.
 fn sent_us(text: &str) -> impl Iterator<Item = u64> {
     text.split("\"sent_us\":").skip(1).filter_map(|rest| {
-        let end = rest.find(|letter: char| !letter.is_ascii_digit())?;
+        let end = rest.find(|character: char| !character.is_ascii_digit())?;
         rest[..end].parse().ok()
     })
 }
--- a/crates/standins/examples/load/system.rs
+++ b/crates/standins/examples/load/system.rs
@@ -1,4 +1,4 @@
-//! A system of one node, its platform and two engines.
+//! The system under test: one node, its platform and two engines.
 
 use std::io::{Error, Result};
 use std::net::SocketAddr;
@@ -12,36 +12,38 @@
 
 const REGION: &str = "zurich";
 
-/// Between two tokens of the paced engine.
-const PACE: Duration = Duration::from_millis(10);
+/// The interval between tokens of the paced engine.
+const PACED_TOKEN_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The served name on the engine that paces its tokens.
+/// The served name of the adapter on the paced engine.
 pub const PACED: &str = "paced@v1";
 
-/// The served name on the engine that sends tokens as fast as they are taken.
+/// The served name of the adapter on the engine that sends tokens as fast as the connection accepts
+/// them.
 pub const UNPACED: &str = "unpaced@v1";
 
-/// A system to measure.
+/// A system to benchmark.
 pub struct System {
     /// The node.
     pub node: Process,
-    /// Where the node takes callers.
+    /// The node's address for callers.
     pub callers: SocketAddr,
-    /// The engine that paces its tokens.
+    /// The address of the engine that sends its tokens at a fixed interval.
     pub paced: SocketAddr,
-    /// The engine that does not.
+    /// The address of the engine that sends its tokens without a pause.
     pub unpaced: SocketAddr,
 }
 
 impl System {
-    /// Starts a system and waits until its document is in force.
+    /// Starts a system and waits until its document is active.
     ///
     /// # Errors
     ///
-    /// Fails if the node does not start.
+    /// Fails if the node cannot be started or rejects the document.
     pub fn start() -> Result<Self> {
         let platform = system::platform();
-        let paced = system::engine(Settings { token_time: PACE, ..Settings::default() });
+        let paced =
+            system::engine(Settings { token_time: PACED_TOKEN_INTERVAL, ..Settings::default() });
         let unpaced =
             system::engine(Settings { token_time: Duration::ZERO, ..Settings::default() });
         publish(
@@ -52,14 +54,20 @@
             ],
         );
         let node = node(&binary("orioleroute-node")?, "a", REGION, platform, &[])?;
-        let callers = node.address("callers").ok_or_else(|| Error::other("no address"))?;
-        until("a member", || status(&node).is_some_and(|status| status.instances.len() == 1));
+        let callers = node
+            .address("callers")
+            .ok_or_else(|| Error::other("the node printed no address for callers"))?;
+        until("the node to join", || {
+            status(&node).is_some_and(|status| status.instances.len() == 1)
+        });
         let submit = Command::Submit { base: 0, document: document().to_string().into() };
         match system::command(&node, &submit) {
             Some(Answer::Accepted { .. }) => {}
             other => return Err(Error::other(format!("the document was not accepted: {other:?}"))),
         }
-        until("in force", || status(&node).is_some_and(|status| status.version == 1));
+        until("the document to be active", || {
+            status(&node).is_some_and(|status| status.version == 1)
+        });
         Ok(Self { node, callers, paced, unpaced })
     }
 }
--- a/crates/standins/examples/platform.rs
+++ b/crates/standins/examples/platform.rs
@@ -1,4 +1,4 @@
-//! Runs the stand-in `platform` as a process: `platform [ADDRESS]`.
+//! Runs the platform stand-in as a process: `platform [ADDRESS]`.
 
 fn main() -> std::io::Result<()> {
     let address = std::env::args().nth(1).unwrap_or_else(|| "127.0.0.1:0".into());
--- a/crates/standins/examples/policy.rs
+++ b/crates/standins/examples/policy.rs
@@ -1,25 +1,25 @@
-//! Measures the policies and writes docs/policy: `policy [tune]`.
+//! Benchmarks the policies and writes the report to docs/policy: `policy [tune]`.
 //!
-//! With `tune` it prints the targets on the traces that the policy may be tuned on, and writes
-//! nothing.
+//! With `tune`, it only prints the table of targets for the tuning traces. The traces of the report
+//! are not used for tuning.
 
 use std::path::Path;
 
-use standins::bench::{Deployment, Ideas, Policy, overload, report};
+use standins::bench::{Deployment, Features, Policy, overload, report};
 
 fn main() -> std::io::Result<()> {
     if std::env::args().nth(1).as_deref() == Some("tune") {
         let policies: Vec<Policy> =
-            Policy::BASELINES.into_iter().chain([Policy::Ours(Ideas::ALL)]).collect();
-        println!("{}", report::targets(&report::rows(&report::TUNING_SEEDS, &policies)));
+            Policy::BASELINES.into_iter().chain([Policy::Orioleroute(Features::ALL)]).collect();
+        println!("{}", report::targets_table(&report::run_cases(&report::TUNING_SEEDS, &policies)));
         return Ok(());
     }
-    let folder = Path::new("docs/policy");
-    std::fs::create_dir_all(folder)?;
-    let rows = report::rows(&report::REPORTED_SEEDS, &report::policies());
+    let report_dir = Path::new("docs/policy");
+    std::fs::create_dir_all(report_dir)?;
+    let rows = report::run_cases(&report::REPORTED_SEEDS, &report::policies());
     for deployment in Deployment::ALL {
         let plot = report::plot(&rows, &deployment);
-        std::fs::write(folder.join(format!("{}.svg", deployment.name)), plot)?;
+        std::fs::write(report_dir.join(format!("{}.svg", deployment.name)), plot)?;
     }
     let text = format!(
         "# Measurements of the policy\n\nWritten by `cargo run --release -p standins --example policy` \
@@ -29,10 +29,10 @@
          it, geometric means over the traces.\n\n{}\n## All figures\n\n{}",
         report::REPORTED_SEEDS,
         report::TUNING_SEEDS,
-        report::targets(&rows),
+        report::targets_table(&rows),
         overload::table(),
-        report::ablation(&rows),
-        report::figures(&rows),
+        report::ablation_table(&rows),
+        report::metrics_table(&rows),
     );
-    std::fs::write(folder.join("results.md"), text)
+    std::fs::write(report_dir.join("results.md"), text)
 }
--- a/crates/standins/examples/service.rs
+++ b/crates/standins/examples/service.rs
@@ -1,4 +1,4 @@
-//! Runs the stand-in `service` as a process: `service [ADDRESS]`.
+//! Runs the stand-in of a plain service as a process: `service [ADDRESS]`.
 
 fn main() -> std::io::Result<()> {
     let address = std::env::args().nth(1).unwrap_or_else(|| "127.0.0.1:0".into());
--- a/crates/standins/src/bench/batch.rs
+++ b/crates/standins/src/bench/batch.rs
@@ -1,50 +1,52 @@
-//! An engine that batches continuously.
+//! The continuous batching of a simulated engine.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use super::trace::WARM_UP_S;
 
-/// The time for one token of a batch of one, in seconds.
+/// The time per token in a batch of one request, in seconds.
 const TOKEN_S: f64 = 0.02;
 
-/// What each further request of a batch adds to that, as a share.
-const BATCH_COST: f64 = 0.03;
+/// The share of [`TOKEN_S`] that each additional request in a batch adds.
+const REQUEST_COST_SHARE: f64 = 0.03;
 
-/// What each further revision in a batch adds to that, as a share.
-const REVISION_COST: f64 = 0.02;
+/// The share of [`TOKEN_S`] that each additional revision in a batch adds.
+const REVISION_COST_SHARE: f64 = 0.02;
 
-/// Continuous batching: all requests of a batch advance at one rate.
+/// The requests of an engine with continuous batching. All requests in the batch advance at the
+/// same rate.
 #[derive(Default)]
 pub(super) struct Batch {
-    /// Tokens that each request in the batch has been given since the start.
-    pub done: f64,
-    /// When it was last brought to the present, in seconds.
-    pub at: f64,
-    /// The ends of the requests, in tokens since the start (as bits, which sort alike).
+    /// The tokens that a request in the batch since the start of the run would have received.
+    pub tokens_done: f64,
+    /// The time of the last call of [`Self::advance`], in seconds.
+    pub advanced_at: f64,
+    /// The requests in the batch, each with the value of `tokens_done` at which it ends. The value
+    /// is stored as its bits, which sort in the same order.
     pub running: BTreeSet<(u64, usize)>,
-    /// Requests that wait for a place in the batch.
+    /// The requests that wait to join the batch.
     pub queue: VecDeque<usize>,
-    /// The requests in the batch by adapter.
+    /// The number of requests in the batch by adapter.
     pub revisions: BTreeMap<usize, u32>,
-    /// The number of the next end, by which an outdated event is known.
-    pub step: u64,
-    /// The measured time with requests, in seconds.
+    /// The generation of the scheduled end event. Events of an earlier generation are ignored.
+    pub generation: u64,
+    /// The time after the warm-up with a non-empty batch, in seconds.
     pub busy_s: f64,
     /// The tokens generated in that time.
     pub tokens: f64,
 }
 
 impl Batch {
-    /// Brings it to the present.
+    /// Advances the requests in the batch to `now`, in seconds.
     pub fn advance(&mut self, now: f64) {
-        let span = now - self.at;
-        self.at = now;
+        let span = now - self.advanced_at;
+        self.advanced_at = now;
         let count = self.running.len();
         if count == 0 {
             return;
         }
-        let tokens = span / step_s(count, self.revisions.len());
-        self.done += tokens;
+        let tokens = span / token_time_s(count, self.revisions.len());
+        self.tokens_done += tokens;
         if now >= WARM_UP_S {
             self.busy_s += span;
             self.tokens += tokens * count as f64;
@@ -52,8 +54,11 @@
     }
 }
 
-/// Returns the time of one token for each request of a batch, in seconds.
-pub(super) fn step_s(requests: usize, revisions: usize) -> f64 {
-    let further = |count: usize| count.saturating_sub(1) as f64;
-    TOKEN_S * (1.0 + BATCH_COST * further(requests) + REVISION_COST * further(revisions))
+/// Returns the time in which each request of a batch receives one token, in seconds.
+pub(super) fn token_time_s(requests: usize, revisions: usize) -> f64 {
+    let additional = |count: usize| count.saturating_sub(1) as f64;
+    TOKEN_S
+        * (1.0
+            + REQUEST_COST_SHARE * additional(requests)
+            + REVISION_COST_SHARE * additional(revisions))
 }
--- a/crates/standins/src/bench/report.rs
+++ b/crates/standins/src/bench/report.rs
@@ -1,153 +1,162 @@
-//! The report on all policies and traces: tables in Markdown and bars in SVG.
+//! The report on all policies and traces: Markdown tables and SVG bar charts.
 
 use std::fmt::Write;
 
 use super::replay::run;
 use super::trace::{Family, clairvoyant, generate};
-use super::{Deployment, Figures, Ideas, Policy};
+use super::{Deployment, Features, Metrics, Policy};
 
-/// Traces with these seeds were used to tune the policy.
+/// The seeds of the traces on which the policy was tuned.
 pub const TUNING_SEEDS: [u64; 2] = [2, 4];
 
-/// Traces with these seeds are reported.
+/// The seeds of the traces in the report. They differ from [`TUNING_SEEDS`].
 pub const REPORTED_SEEDS: [u64; 2] = [1, 3];
 
-/// The largest share of the stalls of the best baseline, and of the bound, that is aimed at.
-const TARGETS: (f64, f64) = (0.75, 1.25);
+/// The target for the highest ratio of stalls to those of the best baseline, and to the clairvoyant
+/// bound.
+const MAX_STALL_RATIOS: (f64, f64) = (0.75, 1.25);
 
-/// Families that are run at a time.
-const THREADS: usize = 3;
+/// The number of cases that run concurrently.
+const CONCURRENT_CASES: usize = 3;
 
-/// What the policies did on one deployment and family.
+/// The results of the policies for one deployment and trace family.
 pub struct Row {
     /// The deployment.
     pub deployment: Deployment,
-    /// The family.
+    /// The trace family.
     pub family: Family,
-    /// The share of stalled requests in the clairvoyant bound.
+    /// The share of stalled requests under the clairvoyant bound.
     pub bound: f64,
-    /// Each policy with its figures.
-    pub results: Vec<(Policy, Figures)>,
+    /// Each policy with its metrics.
+    pub results: Vec<(Policy, Metrics)>,
 }
 
 impl Row {
-    fn of(&self, policy: Policy) -> &Figures {
-        let found = self.results.iter().find(|(other, _)| *other == policy);
-        found.map(|(_, figures)| figures).expect("it was run")
+    fn metrics(&self, policy: Policy) -> &Metrics {
+        let result = self.results.iter().find(|(other, _)| *other == policy);
+        result.map(|(_, metrics)| metrics).expect("the policy was run")
     }
 
-    fn baselines(&self) -> impl Iterator<Item = &Figures> {
-        Policy::BASELINES.iter().map(|policy| self.of(*policy))
+    fn baselines(&self) -> impl Iterator<Item = &Metrics> {
+        Policy::BASELINES.iter().map(|policy| self.metrics(*policy))
     }
 
-    /// Returns the stalls over the best baseline's.
-    fn against_baselines(&self) -> f64 {
-        let best = self.baselines().map(Figures::stalled_share).fold(1.0, f64::min);
-        self.ours().stalled_share() / best
+    /// Returns the ratio of the stalls to those of the best baseline.
+    fn stalls_to_best_baseline(&self) -> f64 {
+        let best = self.baselines().map(Metrics::stalled_share).fold(1.0, f64::min);
+        self.orioleroute().stalled_share() / best
     }
 
-    /// Returns the stalls over those of the best baseline that stays within the region.
-    fn against_local(&self) -> f64 {
+    /// Returns the ratio of the stalls to those of the best baseline that stays within the region.
+    fn stalls_to_best_local_baseline(&self) -> f64 {
         let local = [Policy::Random, Policy::LeastLoaded, Policy::Hashed];
-        let best = local.iter().map(|policy| self.of(*policy).stalled_share()).fold(1.0, f64::min);
-        self.ours().stalled_share() / best
+        let best =
+            local.iter().map(|policy| self.metrics(*policy).stalled_share()).fold(1.0, f64::min);
+        self.orioleroute().stalled_share() / best
     }
 
-    /// Returns the batch efficiency over the best baseline's.
-    fn efficiency(&self) -> f64 {
-        let best = self.baselines().map(|figures| figures.batch_efficiency).fold(0.0, f64::max);
-        self.ours().batch_efficiency / best
+    /// Returns the ratio of the batch efficiency to that of the best baseline.
+    fn efficiency_to_best_baseline(&self) -> f64 {
+        let best = self.baselines().map(|metrics| metrics.batch_efficiency).fold(0.0, f64::max);
+        self.orioleroute().batch_efficiency / best
     }
 
-    fn ours(&self) -> &Figures {
-        self.of(Policy::Ours(Ideas::ALL))
+    fn orioleroute(&self) -> &Metrics {
+        self.metrics(Policy::Orioleroute(Features::ALL))
     }
 }
 
-/// Runs every policy over every family with these seeds.
-pub fn rows(seeds: &[u64], policies: &[Policy]) -> Vec<Row> {
+/// Runs every policy for every deployment and trace family with these seeds.
+pub fn run_cases(seeds: &[u64], policies: &[Policy]) -> Vec<Row> {
     let cases: Vec<(Deployment, Family)> = Deployment::ALL
         .into_iter()
         .flat_map(|deployment| Family::ALL.map(|family| (deployment, family)))
         .collect();
     let mut rows = Vec::new();
-    for chunk in cases.chunks(THREADS) {
+    for chunk in cases.chunks(CONCURRENT_CASES) {
         std::thread::scope(|scope| {
             let threads: Vec<_> = chunk
                 .iter()
                 .map(|(deployment, family)| {
-                    scope.spawn(|| row(deployment, *family, seeds, policies))
+                    scope.spawn(|| run_case(deployment, *family, seeds, policies))
                 })
                 .collect();
-            rows.extend(threads.into_iter().map(|thread| thread.join().expect("a run ends")));
+            rows.extend(
+                threads.into_iter().map(|thread| thread.join().expect("a run does not panic")),
+            );
         });
     }
     rows
 }
 
-fn row(deployment: &Deployment, family: Family, seeds: &[u64], policies: &[Policy]) -> Row {
+fn run_case(deployment: &Deployment, family: Family, seeds: &[u64], policies: &[Policy]) -> Row {
     let traces: Vec<_> =
         seeds.iter().map(|seed| generate(deployment, family, *seed, 1.0)).collect();
-    let slots = deployment.pooled_slots();
+    let slots = deployment.total_slots();
     let bounds = traces.iter().map(|trace| clairvoyant(trace, deployment.adapters, slots));
     let results = policies
         .iter()
         .map(|policy| {
-            let runs: Vec<Figures> =
+            let runs: Vec<Metrics> =
                 traces.iter().map(|trace| run(deployment, *policy, family, trace)).collect();
-            (*policy, Figures::average(&runs))
+            (*policy, Metrics::combine(&runs))
         })
         .collect();
     let bound = bounds.sum::<f64>() / seeds.len() as f64;
     Row { deployment: *deployment, family, bound, results }
 }
 
-/// Returns the variants of the policy with one idea off each.
-pub fn ablations() -> [(&'static str, Ideas); 6] {
-    let all = Ideas::ALL;
+/// Returns the variants of the policy that each have one feature disabled, with that feature's name.
+pub fn ablations() -> [(&'static str, Features); 6] {
+    let all = Features::ALL;
     [
-        ("evict by demand", Ideas { demand: false, ..all }),
-        ("pass on to the region that holds it", Ideas { regions: false, ..all }),
-        ("homes weighted by their upstreams", Ideas { weighted: false, ..all }),
-        ("widen what is full", Ideas { widen: false, ..all }),
-        ("refuse at once", Ideas { refuse: false, ..all }),
-        ("evict from larger batches", Ideas { pack: false, ..all }),
+        ("evict by demand", Features { demand_eviction: false, ..all }),
+        ("pass on to the region that holds it", Features { cross_region: false, ..all }),
+        ("homes weighted by their upstreams", Features { weighted_homes: false, ..all }),
+        ("widen what is full", Features { replication: false, ..all }),
+        ("refuse at once", Features { early_refusal: false, ..all }),
+        ("evict from larger batches", Features { packing: false, ..all }),
     ]
 }
 
-/// Returns all policies that the report needs.
+/// Returns all policies in the report.
 pub fn policies() -> Vec<Policy> {
-    let variants = ablations().map(|(_, ideas)| Policy::Ours(ideas));
-    Policy::BASELINES.into_iter().chain([Policy::Ours(Ideas::ALL)]).chain(variants).collect()
+    let variants = ablations().map(|(_, features)| Policy::Orioleroute(features));
+    Policy::BASELINES
+        .into_iter()
+        .chain([Policy::Orioleroute(Features::ALL)])
+        .chain(variants)
+        .collect()
 }
 
-/// Writes the targets, with the figures and whether each was met.
-pub fn targets(rows: &[Row]) -> String {
+/// Returns a Markdown table of the metrics that have targets, and whether each target was met.
+pub fn targets_table(rows: &[Row]) -> String {
     let mut text = String::from(
         "| deployment | trace | stalls / best baseline | stalls / best baseline in the region | \
          stalls / clairvoyant | batch efficiency / best baseline |\n|---|---|---|---|---|---|\n",
     );
     let mark = |met: bool| if met { "met" } else { "missed" };
     for row in rows {
-        let (baseline, bound) = (row.against_baselines(), row.ours().stalled_share() / row.bound);
-        let efficiency = row.efficiency();
-        let weighed = row.deployment.batch_weight > row.deployment.stall_weight;
-        let efficient = if weighed { mark(efficiency >= 1.0) } else { "no target" };
+        let (baseline, bound) =
+            (row.stalls_to_best_baseline(), row.orioleroute().stalled_share() / row.bound);
+        let efficiency = row.efficiency_to_best_baseline();
+        let has_target = row.deployment.batch_weight > row.deployment.stall_weight;
+        let efficient = if has_target { mark(efficiency >= 1.0) } else { "no target" };
         let _ = writeln!(
             text,
             "| {} | {} | {baseline:.2} {} | {:.2} | {bound:.2} {} | {efficiency:.2} {efficient} |",
             row.deployment.name,
             row.family.name(),
-            mark(baseline <= TARGETS.0),
-            row.against_local(),
-            mark(bound <= TARGETS.1),
+            mark(baseline <= MAX_STALL_RATIOS.0),
+            row.stalls_to_best_local_baseline(),
+            mark(bound <= MAX_STALL_RATIOS.1),
         );
     }
     text
 }
 
-/// Writes the figures of every policy.
-pub fn figures(rows: &[Row]) -> String {
+/// Returns a Markdown table of the metrics of every policy.
+pub fn metrics_table(rows: &[Row]) -> String {
     let mut text = String::from(
         "| deployment | trace | policy | stalled | stall s / 1,000 | stall p99 s | batch efficiency | \
          first token p50 / p95 s | refused | remote bytes / request |\n\
@@ -160,75 +169,77 @@
             "| {} | {} | clairvoyant bound | {:.3} | | | | | | |",
             name.0, name.1, row.bound
         );
-        let shown = Policy::BASELINES.into_iter().chain([Policy::Ours(Ideas::ALL)]);
+        let shown = Policy::BASELINES.into_iter().chain([Policy::Orioleroute(Features::ALL)]);
         for policy in shown {
-            let figures = row.of(policy);
-            let requests = f64::from(figures.requests);
+            let metrics = row.metrics(policy);
+            let requests = f64::from(metrics.requests);
             let _ = writeln!(
                 text,
                 "| {} | {} | {} | {:.3} | {:.0} | {:.2} | {:.3} | {:.3} / {:.2} | {:.4} | {:.0} |",
                 name.0,
                 name.1,
                 policy.name(),
-                figures.stalled_share(),
-                figures.stall_s / requests * 1_000.0,
-                figures.stall_p99_s,
-                figures.batch_efficiency,
-                figures.first_token_s.0,
-                figures.first_token_s.1,
-                f64::from(figures.refused) / requests,
-                figures.remote_bytes,
+                metrics.stalled_share(),
+                metrics.stall_s / requests * 1_000.0,
+                metrics.stall_p99_s,
+                metrics.batch_efficiency,
+                metrics.first_token_s.0,
+                metrics.first_token_s.1,
+                f64::from(metrics.refused) / requests,
+                metrics.remote_bytes,
             );
         }
     }
     text
 }
 
-/// Writes what each idea brings: the figures without it over those with it, as geometric means.
-pub fn ablation(rows: &[Row]) -> String {
+/// Returns a Markdown table of the effect of each feature: the geometric mean over the traces of
+/// each metric without the feature divided by that with it.
+pub fn ablation_table(rows: &[Row]) -> String {
     let mut text = String::from(
         "| without | deployment | stalled | stall seconds | batch efficiency | refused with / without |\n\
          |---|---|---|---|---|---|\n",
     );
-    for (name, ideas) in ablations() {
+    for (name, features) in ablations() {
         for deployment in Deployment::ALL {
             let rows: Vec<&Row> =
                 rows.iter().filter(|row| row.deployment.name == deployment.name).collect();
-            let ratio = |part: fn(&Figures) -> f64| {
-                let logs = rows
-                    .iter()
-                    .map(|row| (part(row.of(Policy::Ours(ideas))) / part(row.ours())).ln());
+            let ratio = |field: fn(&Metrics) -> f64| {
+                let logs = rows.iter().map(|row| {
+                    (field(row.metrics(Policy::Orioleroute(features))) / field(row.orioleroute()))
+                        .ln()
+                });
                 (logs.sum::<f64>() / rows.len() as f64).exp()
             };
-            let refused = |policy| rows.iter().map(|row| row.of(policy).refused).sum::<u32>();
+            let refused = |policy| rows.iter().map(|row| row.metrics(policy).refused).sum::<u32>();
             let _ = writeln!(
                 text,
                 "| {name} | {} | {:.3} | {:.3} | {:.3} | {} / {} |",
                 deployment.name,
-                ratio(Figures::stalled_share),
-                ratio(|figures| figures.stall_s),
-                ratio(|figures| figures.batch_efficiency),
-                refused(Policy::Ours(Ideas::ALL)),
-                refused(Policy::Ours(ideas)),
+                ratio(Metrics::stalled_share),
+                ratio(|metrics| metrics.stall_s),
+                ratio(|metrics| metrics.batch_efficiency),
+                refused(Policy::Orioleroute(Features::ALL)),
+                refused(Policy::Orioleroute(features)),
             );
         }
     }
     text
 }
 
-/// Draws the share of stalled requests of each policy on each family of a deployment.
+/// Returns an SVG bar chart of the share of stalled requests by policy and trace family of a deployment.
 pub fn plot(rows: &[Row], deployment: &Deployment) -> String {
-    const BAR: usize = 12;
+    const BAR_WIDTH: usize = 12;
     const HEIGHT: f64 = 200.0;
     const COLOURS: [&str; 6] = ["#bbbbbb", "#e69f00", "#56b4e9", "#009e73", "#d55e00", "#000000"];
     let rows: Vec<&Row> =
         rows.iter().filter(|row| row.deployment.name == deployment.name).collect();
-    let group = BAR * 7;
+    let group_width = BAR_WIDTH * 7;
     let mut text = format!(
         "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"{}\" height=\"290\" \
          font-family=\"sans-serif\" font-size=\"11\">\n\
          <text x=\"40\" y=\"14\">Share of requests stalled by a load, {}</text>\n",
-        group * rows.len() + 60,
+        group_width * rows.len() + 60,
         deployment.name,
     );
     for share in [0.0, 0.5, 1.0] {
@@ -236,32 +247,33 @@
         let _ = writeln!(text, "<text x=\"8\" y=\"{y}\">{share:.1}</text>");
     }
     let shown: Vec<Policy> =
-        Policy::BASELINES.into_iter().chain([Policy::Ours(Ideas::ALL)]).collect();
-    for (place, row) in rows.iter().enumerate() {
-        let shares = shown.iter().map(|policy| row.of(*policy).stalled_share()).chain([row.bound]);
-        let left = 40 + place * group;
+        Policy::BASELINES.into_iter().chain([Policy::Orioleroute(Features::ALL)]).collect();
+    for (index, row) in rows.iter().enumerate() {
+        let shares =
+            shown.iter().map(|policy| row.metrics(*policy).stalled_share()).chain([row.bound]);
+        let left = 40 + index * group_width;
         for (bar, share) in shares.enumerate() {
             let height = share * HEIGHT;
             let _ = writeln!(
                 text,
                 "<rect x=\"{}\" y=\"{:.1}\" width=\"{}\" height=\"{height:.1}\" fill=\"{}\"/>",
-                left + bar * BAR,
+                left + bar * BAR_WIDTH,
                 230.0 - height,
-                BAR - 1,
+                BAR_WIDTH - 1,
                 COLOURS[bar],
             );
         }
         let _ = writeln!(text, "<text x=\"{left}\" y=\"245\">{}</text>", row.family.name());
     }
     let names = shown.iter().map(|policy| policy.name()).chain(["clairvoyant bound"]);
-    for (place, name) in names.enumerate() {
-        let x = 40 + (place % 3) * 220;
-        let y = 265 + (place / 3) * 15;
+    for (index, name) in names.enumerate() {
+        let x = 40 + (index % 3) * 220;
+        let y = 265 + (index / 3) * 15;
         let _ = writeln!(
             text,
             "<rect x=\"{x}\" y=\"{}\" width=\"9\" height=\"9\" fill=\"{}\"/><text x=\"{}\" y=\"{y}\">{name}</text>",
             y - 9,
-            COLOURS[place],
+            COLOURS[index],
             x + 13,
         );
     }
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine: the OpenAI-compatible API with dynamic load and unload of adapters.
+//! The engine stand-in: the OpenAI-compatible API with dynamic loading and unloading of adapters.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -13,16 +13,16 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-/// How an engine is set up.
+/// The settings of an engine.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The adapters that it holds at a time.
+    /// The number of adapters that can be loaded at the same time.
     pub slots: usize,
-    /// How long a load takes.
+    /// The time that a load takes.
     pub load_time: Duration,
-    /// The time between two tokens.
+    /// The time between two tokens of a response.
     pub token_time: Duration,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether orders with an outdated fencing token are rejected.
     pub checks_fencing: bool,
 }
 
@@ -37,27 +37,27 @@
     }
 }
 
-/// How the engine misbehaves; set with `POST /faults`.
+/// The injected faults of the engine, set with `POST /faults`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Loads fail.
+    /// Loads fail with status 500.
     pub loads_fail: bool,
-    /// Orders take effect, and their replies are lost.
+    /// Orders are applied, but no response is sent.
     pub order_replies_lost: bool,
-    /// Nothing is answered.
+    /// No request is executed or answered, except to `/faults` and `/history`.
     pub down: bool,
-    /// The delay of every answer, in milliseconds.
+    /// The delay of every response, in milliseconds.
     pub delay_ms: u64,
-    /// How old the reports are, in milliseconds.
+    /// The age of the returned reports, in milliseconds.
     pub report_lag_ms: u64,
-    /// Each exchange of a stream breaks off after this many tokens; zero for never.
+    /// The number of tokens after which the connection of a stream is broken; 0 disables this.
     pub break_after: u32,
-    /// Streams that broke off cannot be resumed.
+    /// Broken streams cannot be resumed.
     pub no_resume: bool,
-    /// Restarts once, with nothing loaded.
+    /// The engine restarts once, with no adapters loaded.
     pub restart: bool,
-    /// Leaves: says so in its reports and declines new requests.
+    /// The engine drains: its reports say so and it declines new requests.
     pub draining: bool,
 }
 
@@ -65,57 +65,63 @@
     settings: Settings,
     faults: Faults,
     incarnation: u64,
-    fencing: u64,
+    fencing_token: u64,
+    /// The running requests by the name of each loaded adapter.
     loaded: HashMap<String, u32>,
+    /// The reports that are still needed to return one of the configured age.
     reports: Vec<(Instant, Report)>,
-    /// The served names of the streams that can be resumed; a stream is known by its index.
+    /// The served name of each stream that can be resumed; the index is the stream's ID.
     streams: Vec<String>,
-    /// Everything that was done, for tests.
+    /// The events of loads, unloads, requests and restarts, for tests.
     history: Vec<Value>,
 }
 
-/// Serves an engine until the listener fails.
+/// Serves an engine on the listener until accepting connections fails.
 ///
 /// # Errors
 ///
-/// Fails when the listener does.
+/// Returns the error of the listener.
 pub async fn run(listener: TcpListener, settings: Settings) -> std::io::Result<()> {
     let state = State {
         settings,
         faults: Faults::default(),
         incarnation: 1,
-        fencing: 0,
+        fencing_token: 0,
         loaded: HashMap::new(),
         reports: Vec::new(),
         streams: Vec::new(),
         history: Vec::new(),
     };
-    crate::serve(listener, state, answer).await
+    crate::serve(listener, state, handle).await
 }
 
-async fn answer(
+async fn handle(
     state: &Rc<RefCell<State>>,
     connection: &mut Connection,
     request: Request,
 ) -> Result<(), Error> {
     let faults = state.borrow().faults.clone();
-    let control = request.path == "/faults" || request.path == "/history";
-    if faults.down && !control {
+    let is_control = request.path == "/faults" || request.path == "/history";
+    if faults.down && !is_control {
         connection.closed().await;
         return Ok(());
     }
-    if faults.delay_ms > 0 && !control {
+    if faults.delay_ms > 0 && !is_control {
         monoio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
     }
     let path = request.path.clone();
     match (&request.method, path.as_str()) {
         (&Method::POST, "/v1/chat/completions") => {
-            complete(state, connection, &request, true).await
+            handle_completion(state, connection, &request, true).await
+        }
+        (&Method::POST, "/v1/completions") => {
+            handle_completion(state, connection, &request, false).await
+        }
+        (&Method::POST, "/v1/load_lora_adapter") => {
+            handle_order(state, connection, &request, true).await
         }
-        (&Method::POST, "/v1/completions") => complete(state, connection, &request, false).await,
-        (&Method::POST, "/v1/load_lora_adapter") => order(state, connection, &request, true).await,
         (&Method::POST, "/v1/unload_lora_adapter") => {
-            order(state, connection, &request, false).await
+            handle_order(state, connection, &request, false).await
         }
         (&Method::GET, "/report") => {
             let report = state.borrow_mut().report();
@@ -127,7 +133,7 @@
         }
         (&Method::POST, "/faults") => {
             let response = match serde_json::from_slice::<Faults>(&request.body) {
-                Ok(faults) => state.borrow_mut().misbehave(faults),
+                Ok(faults) => state.borrow_mut().set_faults(faults),
                 Err(error) => Response::text(StatusCode::BAD_REQUEST, error.to_string()),
             };
             connection.respond(response).await
@@ -137,7 +143,7 @@
 }
 
 impl State {
-    fn misbehave(&mut self, faults: Faults) -> Response {
+    fn set_faults(&mut self, faults: Faults) -> Response {
         if faults.restart {
             self.incarnation += 1;
             self.loaded.clear();
@@ -148,7 +154,7 @@
         Response::empty(StatusCode::NO_CONTENT)
     }
 
-    /// Returns the report as it was the lag ago.
+    /// Returns the newest report that is at least as old as the lag, or a current one if there is none.
     fn report(&mut self) -> Report {
         let lag = Duration::from_millis(self.faults.report_lag_ms);
         let loaded: Vec<Loaded> = self
@@ -157,7 +163,7 @@
             .map(|(name, running)| Loaded { name: name.as_str().into(), running: *running })
             .collect();
         let running = loaded.iter().map(|loaded| loaded.running).sum();
-        let fencing = if self.settings.checks_fencing { self.fencing } else { 0 };
+        let fencing = if self.settings.checks_fencing { self.fencing_token } else { 0 };
         let incarnation = self.incarnation;
         let draining = self.faults.draining;
         let now = Report { incarnation, loaded, running, age_ms: 0, fencing, draining };
@@ -175,7 +181,7 @@
     }
 }
 
-async fn order(
+async fn handle_order(
     state: &Rc<RefCell<State>>,
     connection: &mut Connection,
     request: &Request,
@@ -183,18 +189,18 @@
 ) -> Result<(), Error> {
     let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
     let name = body["lora_name"].as_str().unwrap_or_default().to_owned();
-    let fencing: u64 =
+    let token: u64 =
         request.header("x-fencing-number").and_then(|text| text.parse().ok()).unwrap_or(0);
     let settings = state.borrow().settings.clone();
-    let known = state.borrow().fencing;
-    if settings.checks_fencing && fencing < known {
+    let highest = state.borrow().fencing_token;
+    if settings.checks_fencing && token < highest {
         return connection.respond(Response::text(StatusCode::PRECONDITION_FAILED, "fenced")).await;
     }
-    state.borrow_mut().fencing = fencing.max(known);
+    state.borrow_mut().fencing_token = token.max(highest);
     if load {
         monoio::time::sleep(settings.load_time).await;
     }
-    let response = state.borrow_mut().carry_out(&name, load, fencing);
+    let response = state.borrow_mut().apply_order(&name, load, token);
     if state.borrow().faults.order_replies_lost {
         connection.closed().await;
         return Ok(());
@@ -203,7 +209,7 @@
 }
 
 impl State {
-    fn carry_out(&mut self, name: &str, load: bool, fencing: u64) -> Response {
+    fn apply_order(&mut self, name: &str, load: bool, token: u64) -> Response {
         if load && self.faults.loads_fail {
             return Response::text(StatusCode::INTERNAL_SERVER_ERROR, "load failed");
         }
@@ -212,7 +218,7 @@
         }
         let running = self.loaded.get(name).copied().unwrap_or(0);
         let event = if load { "load" } else { "unload" };
-        let entry = json!({ "event": event, "name": name, "fencing": fencing, "running": running });
+        let entry = json!({ "event": event, "name": name, "fencing": token, "running": running });
         self.history.push(entry);
         if load {
             self.loaded.entry(name.to_owned()).or_insert(0);
@@ -222,34 +228,35 @@
         Response::text(StatusCode::OK, "done")
     }
 
-    /// Returns a stream's id and its first token, which is not 0 for one that is resumed.
+    /// Opens or resumes a stream. Returns its ID and the index of the first token to send, or
+    /// `None` if it cannot be resumed.
     fn open_stream(&mut self, request: &Request, name: &str) -> Option<(usize, u32)> {
         let Some(id) = request.header("x-resume-stream") else {
             self.streams.push(name.to_owned());
             return Some((self.streams.len() - 1, 0));
         };
         let id: usize = id.parse().ok()?;
-        let known = self.streams.get(id).is_some_and(|known| known == name);
+        let is_known = self.streams.get(id).is_some_and(|served| served == name);
         let first = request.header("x-resume-events")?.parse().ok()?;
-        (known && !self.faults.no_resume).then_some((id, first))
+        (is_known && !self.faults.no_resume).then_some((id, first))
     }
 
-    fn count(&mut self, name: &str, change: i32) {
+    fn adjust_running(&mut self, name: &str, change: i32) {
         if let Some(running) = self.loaded.get_mut(name) {
             *running = running.saturating_add_signed(change);
         }
     }
 }
 
-/// Counts a running request for as long as it lives.
-struct Running {
+/// A running request, counted until it is dropped.
+struct RunningRequest {
     state: Rc<RefCell<State>>,
     name: String,
 }
 
-impl Running {
+impl RunningRequest {
     fn begin(state: &Rc<RefCell<State>>, name: &str, request: &str, resumed: bool) -> Self {
-        state.borrow_mut().count(name, 1);
+        state.borrow_mut().adjust_running(name, 1);
         let event = if resumed { "resume" } else { "begin" };
         let entry = json!({ "event": event, "name": name, "request": request });
         state.borrow_mut().history.push(entry);
@@ -257,15 +264,15 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningRequest {
     fn drop(&mut self) {
-        self.state.borrow_mut().count(&self.name, -1);
+        self.state.borrow_mut().adjust_running(&self.name, -1);
         let entry = json!({ "event": "end", "name": self.name });
         self.state.borrow_mut().history.push(entry);
     }
 }
 
-async fn complete(
+async fn handle_completion(
     state: &Rc<RefCell<State>>,
     connection: &mut Connection,
     request: &Request,
@@ -287,17 +294,17 @@
     }
     let id = request.header("x-request-id").unwrap_or_default().to_owned();
     let resumed = request.header("x-resume-stream").is_some();
-    let running = Running::begin(state, &name, &id, resumed);
+    let running = RunningRequest::begin(state, &name, &id, resumed);
     let tokens = body["max_tokens"].as_u64().unwrap_or(8) as u32;
-    let pace = state.borrow().settings.token_time;
+    let token_time = state.borrow().settings.token_time;
     let break_after = state.borrow().faults.break_after;
     if body["stream"].as_bool() != Some(true) {
         monoio::select! {
-            _ = monoio::time::sleep(pace * tokens) => {}
+            _ = monoio::time::sleep(token_time * tokens) => {}
             _ = connection.closed() => return Ok(()),
         }
-        let text: String = (0..tokens).map(word).collect();
-        let answer = whole(&name, &text, tokens, chat);
+        let text: String = (0..tokens).map(token_text).collect();
+        let answer = completion(&name, &text, tokens, chat);
         drop(running);
         return connection.respond(Response::json(StatusCode::OK, &answer)).await;
     }
@@ -311,16 +318,21 @@
     connection.begin(StatusCode::OK, &headers).await?;
     for index in first..tokens {
         if break_after > 0 && index - first >= break_after {
-            return Err(Error::new(orioleroute_wire::Step::Send, connection.peer(), "broken off"));
+            return Err(Error::new(
+                orioleroute_wire::Step::Send,
+                connection.peer(),
+                "stream broken by an injected fault",
+            ));
         }
-        if !pace.is_zero() {
+        if !token_time.is_zero() {
             monoio::select! {
-                _ = monoio::time::sleep(pace) => {}
+                _ = monoio::time::sleep(token_time) => {}
                 _ = connection.closed() => return Ok(()),
             }
         }
         let last = index + 1 == tokens;
-        let event = format!("data: {}\n\n", part(&name, &word(index), last, chat));
+        let event =
+            format!("data: {}\n\n", completion_chunk(&name, &token_text(index), last, chat));
         connection.chunk(event.as_bytes()).await?;
     }
     connection.chunk(b"data: [DONE]\n\n").await?;
@@ -328,11 +340,11 @@
     connection.finish().await
 }
 
-fn word(index: u32) -> String {
+fn token_text(index: u32) -> String {
     format!("w{index} ")
 }
 
-fn whole(name: &str, text: &str, tokens: u32, chat: bool) -> Value {
+fn completion(name: &str, text: &str, tokens: u32, chat: bool) -> Value {
     let choice = match chat {
         true => json!({ "index": 0, "finish_reason": "stop",
                         "message": { "role": "assistant", "content": text } }),
@@ -348,7 +360,7 @@
     })
 }
 
-fn part(name: &str, word: &str, last: bool, chat: bool) -> Value {
+fn completion_chunk(name: &str, word: &str, last: bool, chat: bool) -> Value {
     let finish = if last { json!("stop") } else { Value::Null };
     let choice = match chat {
         true => json!({ "index": 0, "finish_reason": finish, "delta": { "content": word } }),
@@ -360,11 +372,12 @@
         "created": 0,
         "model": name,
         "choices": [choice],
-        "sent_us": since_epoch_us(),
+        "sent_us": unix_time_us(),
     })
 }
 
-/// Returns when a token is sent, from which a caller on the same machine tells its delay.
-fn since_epoch_us() -> u64 {
+/// Returns the current time in microseconds since the Unix epoch. A caller on the same machine
+/// computes a token's delay from it.
+fn unix_time_us() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
 }
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -1,5 +1,5 @@
-//! The platform: a transactional table in DynamoDB's JSON protocol, an object store in S3's
-//! path-style protocol, and the instance list.
+//! The platform stand-in: a transactional table with DynamoDB's JSON protocol, an object store with
+//! S3's path-style protocol, and the instance list.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -15,19 +15,19 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-/// How the platform misbehaves; set with `POST /faults`.
+/// The injected faults of the platform, set with `POST /faults`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// The table answers nothing and does nothing.
+    /// The table neither executes requests nor responds.
     pub table_down: bool,
-    /// The table does what it is asked, and its reply is lost.
+    /// The table executes requests but sends no response.
     pub table_replies_lost: bool,
-    /// The delay of every reply of the table, in milliseconds.
+    /// The delay of every response of the table, in milliseconds.
     pub table_delay_ms: u64,
-    /// The object store answers nothing and does nothing.
+    /// The object store executes no requests and responds with status 503.
     pub objects_down: bool,
-    /// How much later than reality the instance list is, in milliseconds.
+    /// The age that an instance list must reach before it is returned, in milliseconds.
     pub list_lag_ms: u64,
 }
 
@@ -35,30 +35,30 @@
 struct State {
     rows: HashMap<String, Value>,
     objects: HashMap<String, Bytes>,
-    lists: Vec<(Instant, Vec<Listing>)>,
+    published_lists: Vec<(Instant, Vec<Listing>)>,
     faults: Faults,
     reads: u64,
     writes: u64,
 }
 
-/// Serves a platform until the listener fails.
+/// Serves a platform on the listener until accepting connections fails.
 ///
 /// # Errors
 ///
-/// Fails when the listener does.
+/// Returns the error of the listener.
 pub async fn run(listener: TcpListener) -> std::io::Result<()> {
     let state = State::default();
-    crate::serve(listener, state, answer).await
+    crate::serve(listener, state, handle).await
 }
 
-async fn answer(
+async fn handle(
     state: &Rc<RefCell<State>>,
     connection: &mut Connection,
     request: Request,
 ) -> Result<(), Error> {
     let path = request.path.clone();
     match (&request.method, path.as_str()) {
-        (&Method::POST, "/") => table(state, connection, &request).await,
+        (&Method::POST, "/") => handle_table(state, connection, &request).await,
         (&Method::POST, "/faults") => {
             let response = match serde_json::from_slice(&request.body) {
                 Ok(faults) => {
@@ -77,35 +77,37 @@
             connection.respond(Response::json(StatusCode::OK, &counts)).await
         }
         (&Method::GET, "/instances") => {
-            let list = state.borrow().listed();
+            let list = state.borrow().visible_list();
             connection.respond(Response::json(StatusCode::OK, &list)).await
         }
         (&Method::PUT, "/instances") => {
             let response = match serde_json::from_slice::<Vec<Listing>>(&request.body) {
                 Ok(list) => {
-                    state.borrow_mut().lists.push((Instant::now(), list));
+                    state.borrow_mut().published_lists.push((Instant::now(), list));
                     Response::empty(StatusCode::NO_CONTENT)
                 }
                 Err(error) => Response::text(StatusCode::BAD_REQUEST, error.to_string()),
             };
             connection.respond(response).await
         }
-        (_, path) if path.starts_with("/objects/") => objects(state, connection, &request).await,
+        (_, path) if path.starts_with("/objects/") => {
+            handle_object(state, connection, &request).await
+        }
         _ => connection.respond(Response::empty(StatusCode::NOT_FOUND)).await,
     }
 }
 
 impl State {
-    /// Returns the newest list that is older than the lag.
-    fn listed(&self) -> Vec<Listing> {
+    /// Returns the newest list that is at least as old as the lag, or an empty list.
+    fn visible_list(&self) -> Vec<Listing> {
         let lag = Duration::from_millis(self.faults.list_lag_ms);
-        let mut lists = self.lists.iter().rev();
-        let visible = lists.find(|(since, _)| since.elapsed() >= lag);
+        let mut lists = self.published_lists.iter().rev();
+        let visible = lists.find(|(published, _)| published.elapsed() >= lag);
         visible.map(|(_, list)| list.clone()).unwrap_or_default()
     }
 }
 
-async fn objects(
+async fn handle_object(
     state: &Rc<RefCell<State>>,
     connection: &mut Connection,
     request: &Request,
@@ -130,14 +132,14 @@
     connection.respond(response).await
 }
 
-async fn table(
+async fn handle_table(
     state: &Rc<RefCell<State>>,
     connection: &mut Connection,
     request: &Request,
 ) -> Result<(), Error> {
     let faults = state.borrow().faults.clone();
     if faults.table_down {
-        // An outage is silence: the caller learns nothing until it gives up.
+        // An outage sends no response at all: the caller has to wait for its own timeout.
         connection.closed().await;
         return Ok(());
     }
@@ -146,7 +148,7 @@
     let response = match target {
         "DynamoDB_20120810.BatchGetItem" => state.borrow_mut().read(&body),
         "DynamoDB_20120810.TransactWriteItems" => state.borrow_mut().write(&body),
-        _ => refusal("UnknownOperationException", json!([])),
+        _ => table_error("UnknownOperationException", json!([])),
     };
     if faults.table_replies_lost {
         connection.closed().await;
@@ -177,7 +179,7 @@
     fn write(&mut self, body: &Value) -> Response {
         self.writes += 1;
         let items = body["TransactItems"].as_array().cloned().unwrap_or_default();
-        let met: Vec<bool> = items.iter().map(|item| self.is_met(item)).collect();
+        let met: Vec<bool> = items.iter().map(|item| self.is_condition_met(item)).collect();
         if met.iter().all(|met| *met) {
             for item in &items {
                 let item = &item["Put"]["Item"];
@@ -193,10 +195,10 @@
             .iter()
             .map(|met| json!({ "Code": if *met { "None" } else { "ConditionalCheckFailed" } }))
             .collect();
-        refusal("TransactionCanceledException", reasons.into())
+        table_error("TransactionCanceledException", reasons.into())
     }
 
-    fn is_met(&self, item: &Value) -> bool {
+    fn is_condition_met(&self, item: &Value) -> bool {
         let (part, key) = match item.get("Put") {
             Some(put) => (put, &put["Item"]),
             None => (&item["ConditionCheck"], &item["ConditionCheck"]["Key"]),
@@ -212,7 +214,7 @@
     }
 }
 
-fn refusal(kind: &str, reasons: Value) -> Response {
+fn table_error(kind: &str, reasons: Value) -> Response {
     let body = json!({
         "__type": format!("com.amazonaws.dynamodb.v20120810#{kind}"),
         "CancellationReasons": reasons,
--- a/crates/standins/src/process.rs
+++ b/crates/standins/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes started for a demonstration or test, and ended with it.
+//! Child processes of a demonstration or test.
 
 use std::io::{BufRead, BufReader, Error, Result};
 use std::net::SocketAddr;
@@ -9,21 +9,21 @@
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 
-/// Between two looks whether a process has ended.
-const POLL: Duration = Duration::from_millis(10);
+/// The interval at which [`Process::wait`] polls the exit status.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A process, killed when dropped.
+/// A child process that is killed when dropped.
 pub struct Process {
     child: Child,
-    line: String,
+    first_line: String,
 }
 
 impl Process {
-    /// Starts a program and waits for the first line that it prints, which tells its addresses.
+    /// Starts a program and waits for the first line of its output, which lists its addresses.
     ///
     /// # Errors
     ///
-    /// Fails if the program cannot be started or ends without a line.
+    /// Fails if the program cannot be started or exits without printing a line.
     pub fn start(program: &Path, arguments: &[String]) -> Result<Self> {
         let mut child = Command::new(program)
             .args(arguments)
@@ -31,43 +31,48 @@
             .stdout(Stdio::piped())
             .spawn()
             .map_err(|error| Error::other(format!("{}: {error}", program.display())))?;
-        let output = child.stdout.take().ok_or_else(|| Error::other("no standard output"))?;
-        let mut line = String::new();
-        BufReader::new(output).read_line(&mut line)?;
-        if line.is_empty() {
+        let output =
+            child.stdout.take().ok_or_else(|| Error::other("the child has no standard output"))?;
+        let mut first_line = String::new();
+        BufReader::new(output).read_line(&mut first_line)?;
+        if first_line.is_empty() {
             let status = child.wait()?;
-            return Err(Error::other(format!("{} ended at once: {status}", program.display())));
+            return Err(Error::other(format!(
+                "{} exited before printing its addresses: {status}",
+                program.display()
+            )));
         }
-        Ok(Self { child, line })
+        Ok(Self { child, first_line })
     }
 
-    /// Returns the address that the first line gives under a name, or its only address.
+    /// Returns the address that the first line gives as `name=address`. An empty name matches an address
+    /// that has no name.
     pub fn address(&self, name: &str) -> Option<SocketAddr> {
-        let words = self.line.split_whitespace();
+        let words = self.first_line.split_whitespace();
         let mut values = words
             .filter_map(|word| word.strip_prefix(name).map(|rest| rest.trim_start_matches('=')));
         values.find_map(|value| value.parse().ok())
     }
 
-    /// Returns the process id.
+    /// Returns the process ID.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     ///
     /// # Errors
     ///
-    /// Fails if the process has ended.
+    /// Fails if the process no longer exists.
     pub fn signal(&self, signal: Signal) -> Result<()> {
         kill(Pid::from_raw(self.child.id() as i32), signal).map_err(Error::from)
     }
 
-    /// Waits for the process to end by itself, for at most `limit`.
+    /// Waits up to `limit` for the process to exit by itself.
     ///
     /// # Errors
     ///
-    /// Fails if it has not ended by then.
+    /// Fails if it is still running after that time.
     pub fn wait(&mut self, limit: Duration) -> Result<ExitStatus> {
         let start = Instant::now();
         loop {
@@ -75,9 +80,9 @@
                 return Ok(status);
             }
             if start.elapsed() > limit {
-                return Err(Error::other("the process did not end in time"));
+                return Err(Error::other("the process did not exit in time"));
             }
-            std::thread::sleep(POLL);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 }
@@ -89,13 +94,16 @@
     }
 }
 
-/// Returns the path of a binary of the workspace, from an example or a test of it.
+/// Returns the path of a binary of the workspace, for callers that are examples or tests of it.
 ///
 /// # Errors
 ///
-/// Fails if the running program's own path is not known.
+/// Fails if the path of the current executable cannot be determined.
 pub fn binary(name: &str) -> Result<PathBuf> {
     let own = std::env::current_exe()?;
-    let folder = own.ancestors().nth(2).ok_or_else(|| Error::other("no target folder"))?;
-    Ok(folder.join(name))
+    let target_dir = own
+        .ancestors()
+        .nth(2)
+        .ok_or_else(|| Error::other("the executable is not in a target directory"))?;
+    Ok(target_dir.join(name))
 }
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts how often each call ran.
+//! The stand-in of a plain service, which counts the runs of each idempotency key.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -11,33 +11,34 @@
 use orioleroute_wire::server::{Connection, Request, Response};
 use serde::{Deserialize, Serialize};
 
-/// How the service misbehaves; set with `POST /faults`.
+/// The injected faults of the service, set with `POST /faults`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Calls run, and their replies are lost.
+    /// Calls run, but no response is sent.
     pub replies_lost: bool,
-    /// The delay of every answer, in milliseconds.
+    /// The delay of every response, in milliseconds.
     pub delay_ms: u64,
 }
 
 #[derive(Default)]
 struct State {
     faults: Faults,
+    /// The number of runs by idempotency key.
     runs: HashMap<String, u32>,
 }
 
-/// Serves a plain service until the listener fails.
+/// Serves a plain service on the listener until accepting connections fails.
 ///
 /// # Errors
 ///
-/// Fails when the listener does.
+/// Returns the error of the listener.
 pub async fn run(listener: TcpListener) -> std::io::Result<()> {
     let state = State::default();
-    crate::serve(listener, state, answer).await
+    crate::serve(listener, state, handle).await
 }
 
-async fn answer(
+async fn handle(
     state: &Rc<RefCell<State>>,
     connection: &mut Connection,
     request: Request,
--- a/crates/standins/src/system.rs
+++ b/crates/standins/src/system.rs
@@ -1,4 +1,4 @@
-//! A small system for tests: stand-ins on threads of the test, nodes as processes.
+//! A small system for tests: the stand-ins run on threads of the test, the nodes as processes.
 
 use std::future::Future;
 use std::io::Result;
@@ -18,20 +18,20 @@
 use crate::process::Process;
 use crate::{engine, platform, service};
 
-/// The token that the nodes of a test take from operators.
+/// The token with which operators authenticate to the nodes of a test.
 pub const OPERATOR_TOKEN: &str = "operator-secret";
 
-/// The token that the nodes of a test take from peers.
+/// The token with which the nodes of a test authenticate to each other.
 pub const PEER_TOKEN: &str = "peer-secret";
 
-/// The longest wait for something to come about.
+/// The timeout of [`call`] and [`until`].
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Between two looks whether it has.
-const POLL: Duration = Duration::from_millis(20);
+/// The interval at which [`until`] checks its condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Runs a stand-in on a thread of its own and returns its address.
-fn on_thread<F>(run: impl FnOnce(TcpListener) -> F + Send + 'static) -> SocketAddr
+/// Runs a stand-in on its own thread and returns its address.
+fn spawn_stand_in<F>(run: impl FnOnce(TcpListener) -> F + Send + 'static) -> SocketAddr
 where
     F: Future<Output = std::io::Result<()>>,
 {
@@ -39,26 +39,28 @@
     std::thread::spawn(move || {
         runtime::block_on(async move {
             let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-            sender.send(listener.local_addr().expect("it is bound")).expect("the test waits");
+            sender
+                .send(listener.local_addr().expect("the listener is bound"))
+                .expect("the test waits for the address");
             run(listener).await
         })
     });
     receiver.recv().expect("the stand-in starts")
 }
 
-/// Starts a platform and returns its address.
+/// Starts a platform stand-in and returns its address.
 pub fn platform() -> SocketAddr {
-    on_thread(platform::run)
+    spawn_stand_in(platform::run)
 }
 
-/// Starts an engine and returns its address.
+/// Starts an engine stand-in and returns its address.
 pub fn engine(settings: engine::Settings) -> SocketAddr {
-    on_thread(move |listener| engine::run(listener, settings))
+    spawn_stand_in(move |listener| engine::run(listener, settings))
 }
 
-/// Starts a plain service and returns its address.
+/// Starts a stand-in of a plain service and returns its address.
 pub fn service() -> SocketAddr {
-    on_thread(service::run)
+    spawn_stand_in(service::run)
 }
 
 /// Returns a listing of a live upstream in the first zone of a region.
@@ -73,17 +75,17 @@
     }
 }
 
-/// Starts a node whose platform is at `platform`.
+/// Starts a node that uses the platform at `platform`, with the arguments `extra` appended.
 ///
 /// # Errors
 ///
-/// Fails if the node does not start.
+/// Fails if the node cannot be started.
 pub fn node(
     program: &Path,
     name: &str,
     region: &str,
     platform: SocketAddr,
-    more: &[&str],
+    extra: &[&str],
 ) -> Result<Process> {
     let mut arguments: Vec<String> = [
         ("--name", name),
@@ -100,15 +102,15 @@
     .iter()
     .flat_map(|(flag, value)| [(*flag).to_owned(), (*value).to_owned()])
     .collect();
-    arguments.extend(more.iter().map(|text| (*text).to_owned()));
+    arguments.extend(extra.iter().map(|text| (*text).to_owned()));
     Process::start(program, &arguments)
 }
 
-/// Calls an address from outside any runtime and returns the whole answer.
+/// Sends a request from outside any async runtime and returns the complete response.
 ///
 /// # Errors
 ///
-/// Fails as the exchange does.
+/// Fails if the exchange fails or takes longer than 20 seconds.
 pub fn call(
     address: SocketAddr,
     call: Call,
@@ -117,27 +119,41 @@
 }
 
 /// Sets the faults of a stand-in.
+///
+/// # Panics
+///
+/// Panics if the stand-in rejects them or does not respond.
 pub fn set_faults(address: SocketAddr, faults: &impl Serialize) {
     let answer = call(address, Call::new(Method::POST, "/faults").json(faults));
-    assert!(answer.is_ok_and(|answer| answer.status.is_success()), "the faults were taken");
+    assert!(
+        answer.is_ok_and(|answer| answer.status.is_success()),
+        "the stand-in at {address} did not accept the faults"
+    );
 }
 
-/// Publishes the instance list.
+/// Publishes the list of upstreams on the platform.
+///
+/// # Panics
+///
+/// Panics if the platform rejects it or does not respond.
 pub fn publish(platform: SocketAddr, listings: &[Listing]) {
     let answer = call(platform, Call::new(Method::PUT, "/instances").json(&listings));
-    assert!(answer.is_ok_and(|answer| answer.status.is_success()), "the list was taken");
+    assert!(
+        answer.is_ok_and(|answer| answer.status.is_success()),
+        "the platform at {platform} did not accept the list"
+    );
 }
 
-/// Gives a node an operator's command.
+/// Sends an operator command to a node. Returns `None` if there is no valid reply.
 pub fn command(node: &Process, command: &Command) -> Option<Reply> {
     let address = node.address("operators")?;
-    let question = Call::new(Method::POST, "/command")
+    let request = Call::new(Method::POST, "/command")
         .header("authorization", format!("Bearer {OPERATOR_TOKEN}"))
         .json(command);
-    call(address, question).ok()?.json(address).ok()
+    call(address, request).ok()?.json(address).ok()
 }
 
-/// Returns a node's status.
+/// Returns the status of a node, or `None` if it does not reply with one.
 pub fn status(node: &Process) -> Option<Status> {
     match command(node, &Command::Status)? {
         Reply::Status(status) => Some(status),
@@ -145,16 +161,16 @@
     }
 }
 
-/// Waits until `check` is true, and returns how long that took.
+/// Waits until `check` returns true, and returns the time that took.
 ///
 /// # Panics
 ///
-/// Panics with `what` if it does not come about.
+/// Panics after 20 seconds; the message contains `what`.
 pub fn until(what: &str, mut check: impl FnMut() -> bool) -> Duration {
     let start = Instant::now();
     while !check() {
-        assert!(start.elapsed() < TIMEOUT, "did not come about: {what}");
-        std::thread::sleep(POLL);
+        assert!(start.elapsed() < TIMEOUT, "timed out waiting for: {what}");
+        std::thread::sleep(POLL_INTERVAL);
     }
     start.elapsed()
 }
