--- a/crates/orioleroute-node/src/gateway/state.rs
+++ b/crates/orioleroute-node/src/gateway/state.rs
@@ -287,7 +287,7 @@
             }
             Outcome::Print(_) => {}
             Outcome::Fail(message) => {
-                warn!(self.log, "settings rejected, the former stay"; "error" => message);
+                warn!(self.log, "settings rejected, keeping the previous ones"; "error" => message);
             }
         }
     }
--- a/crates/orioleroute-node/tests/platform_settings.rs
+++ b/crates/orioleroute-node/tests/platform_settings.rs
@@ -101,7 +101,7 @@
     std::fs::write(&file.0, settings("grace-ms = soon\n")).unwrap();
     let pid = Pid::from_raw(child.id() as i32);
     kill(pid, Signal::SIGHUP).unwrap();
-    let rejected = until_logged(&mut lines, "settings rejected, the former stay");
+    let rejected = until_logged(&mut lines, "settings rejected, keeping the previous ones");
     std::fs::write(&file.0, settings("grace-ms = 9000\n")).unwrap();
     kill(pid, Signal::SIGHUP).unwrap();
     until_logged(&mut lines, "settings reloaded");
--- a/crates/orioleroute/src/config/submission.rs
+++ b/crates/orioleroute/src/config/submission.rs
@@ -83,8 +83,7 @@
             return answer(ticket, Answer::Conflict { version }, effects);
         }
         if self.submission.is_some() {
-            let reason =
-                "another submission is in progress at this instance; nothing was accepted".into();
+            let reason = "another submission is under way here; nothing was accepted".into();
             return answer(ticket, Answer::Failed { reason }, effects);
         }
         let mark = Mark { version: base + 1, token: digest(&(ticket.0, now, text)) };
@@ -130,7 +129,7 @@
             return;
         }
         if !stored {
-            let reason = "the object store did not store the document; nothing was accepted".into();
+            let reason = "the object store did not take the document; nothing was accepted".into();
             answer(submission.ticket, Answer::Failed { reason }, effects);
             self.submission = None;
             return;
@@ -228,8 +227,8 @@
                 accepted.is_some_and(|submission| self.activate(submission.versioned))
             }
             Some(head) if head.version > mark.version && submission.may_be_accepted => {
-                let reason = "a later version was accepted before it was known whether this one \
-                              was; compare the active document";
+                let reason = "another version followed before it was known whether this one was \
+                              accepted; compare the document in force";
                 answer(ticket, Answer::Failed { reason: reason.into() }, effects);
                 self.submission = None;
                 false
@@ -240,7 +239,7 @@
                 false
             }
             _ if superseded => {
-                let reason = "another submission superseded it; nothing was accepted".into();
+                let reason = "another submission took its place; nothing was accepted".into();
                 answer(ticket, Answer::Failed { reason }, effects);
                 self.submission = None;
                 false
--- a/crates/orioleroute/src/core/operators.rs
+++ b/crates/orioleroute/src/core/operators.rs
@@ -63,11 +63,9 @@
             .collect();
         let reason = match (homes.first(), loaded.is_empty()) {
             (None, _) => "no instance of this region owns an upstream that may run it",
-            (Some(home), _) if *home != own.name => "another instance is its home",
+            (Some(home), _) if *home != own.name => "another instance is home to it",
             (Some(_), true) => "no request has needed it since it was last unloaded",
-            (Some(_), false) => {
-                "it was loaded for requests and has not been the least needed since"
-            }
+            (Some(_), false) => "it was loaded for requests and not needed less than others since",
         };
         Answer::Explanation(Explanation {
             name: self.catalog.revision(key).name.clone(),
--- a/crates/orioleroute/src/document/check.rs
+++ b/crates/orioleroute/src/document/check.rs
@@ -41,7 +41,7 @@
     serde_path_to_error::deserialize(&value).map_err(|error| {
         let path = error.path().to_string();
         let cause = error.into_inner();
-        vec![Fault::new(path, cause, "a document that matches the published schema")]
+        vec![Fault::new(path, cause, "a document of the published schema")]
     })
 }
 
@@ -95,7 +95,7 @@
             if version.is_empty() {
                 faults.push(Fault::new(path, "an empty name", "a name"));
             } else if !seen.insert(version) {
-                faults.push(Fault::new(path, version, "a unique version"));
+                faults.push(Fault::new(path, version, "a version named once"));
             }
         }
         for (index, region) in adapter.regions.iter().enumerate() {
@@ -139,7 +139,7 @@
             faults.push(Fault::new(format!("{list}[{index}].name"), "an empty name", "a name"));
         }
         if !seen.insert(name) {
-            faults.push(Fault::new(format!("{list}[{index}].name"), name, "a unique name"));
+            faults.push(Fault::new(format!("{list}[{index}].name"), name, "a name used once"));
         }
     }
     seen
--- a/crates/orioleroute/src/membership.rs
+++ b/crates/orioleroute/src/membership.rs
@@ -4,7 +4,7 @@
 //! changes only by a conditional write to the table. A lease is valid for [`LEASE_DURATION`] after a
 //! read of the view's row that showed the applied version or, while the table does not answer, after
 //! all watchers granted it. A watcher removes a member only after it has granted it no lease for one
-//! lease duration, and a new owner of an engine that does not check fencing numbers waits for one
+//! lease duration, and a new owner of an engine that does not check fencing tokens waits for one
 //! more lease duration before its first order.
 
 use std::net::SocketAddr;
@@ -46,7 +46,7 @@
 /// How long watchers can extend a lease that the table has not confirmed.
 ///
 /// An instance that takes over from a member whose watchers' grants are not known to have ended
-/// waits this long before it issues orders to engines that ignore fencing numbers. So this is both
+/// waits this long before it issues orders to engines that ignore fencing tokens. So this is both
 /// the longest table outage during which loads continue and the time without loads after the loss
 /// of a whole region.
 pub const MAX_EXTENSION: Duration = Duration::from_secs(15 * 60);
--- a/crates/orioleroute/src/ownership.rs
+++ b/crates/orioleroute/src/ownership.rs
@@ -125,7 +125,7 @@
 
     /// Returns whether an upstream would carry out no further order of a previous owner.
     ///
-    /// `fenced` is whether the engine checks fencing numbers. Such engines refuse those orders, so
+    /// `fenced` is whether the engine checks fencing tokens. Such engines refuse those orders, so
     /// there is no need to wait for the leases of previous owners to expire.
     pub fn is_settled(&self, key: key::Upstream, fenced: bool) -> bool {
         self.tenures.get(&key).is_some_and(|tenure| match fenced {
@@ -134,7 +134,7 @@
         })
     }
 
-    /// Records that an upstream that checks fencing numbers has carried out an order of this instance.
+    /// Records that an upstream that checks fencing tokens has carried out an order of this instance.
     pub fn fence(&mut self, key: key::Upstream) {
         if let Some(tenure) = self.tenures.get_mut(&key) {
             tenure.fenced = true;
@@ -151,7 +151,7 @@
 
     /// Returns since when no other instance sends requests to an owned upstream.
     ///
-    /// Only orders carry fencing numbers, so the lease of a previous owner must expire even for
+    /// Only orders carry fencing tokens, so the lease of a previous owner must expire even for
     /// engines that check them.
     pub fn alone_since(&self, key: key::Upstream) -> Option<Instant> {
         let tenure = self.tenures.get(&key)?;
--- a/crates/orioleroute/src/view.rs
+++ b/crates/orioleroute/src/view.rs
@@ -12,7 +12,7 @@
 
 /// The members of one region, as agreed in the table.
 ///
-/// The version of the row is the version of the view and the fencing number of all orders issued
+/// The version of the row is the version of the view and the fencing token of all orders issued
 /// under it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
--- a/crates/orioleroute/tests/common/mod.rs
+++ b/crates/orioleroute/tests/common/mod.rs
@@ -11,7 +11,7 @@
 pub const ADAPTERS: usize = 12;
 
 /// Returns a document with [`ADAPTERS`] adapters of one base model. Each adapter has `versions`
-/// versions. There is one pool of engines that check fencing numbers and one that ignores them.
+/// versions. There is one pool of engines that check fencing tokens and one that ignores them.
 pub fn document(versions: usize, slots: u32) -> String {
     document_of(ADAPTERS, versions, slots)
 }
--- a/crates/orioleroute/tests/histories/mod.rs
+++ b/crates/orioleroute/tests/histories/mod.rs
@@ -141,7 +141,7 @@
     .to_string()
 }
 
-/// Returns a simulated system of two regions with nodes, engines that check fencing numbers, engines
+/// Returns a simulated system of two regions with nodes, engines that check fencing tokens, engines
 /// that ignore them, a plain service and an active document.
 pub fn world(seed: u64) -> World {
     let mut world = World::new(seed);
