--- a/crates/orioleroute/src/core.rs
+++ b/crates/orioleroute/src/core.rs
@@ -21,12 +21,12 @@
 
 mod claims;
 mod engines;
-mod holding;
 mod operators;
-mod placing;
+mod overflow;
+mod placement;
+mod remote_holders;
 mod requests;
 mod routes;
-mod spilling;
 
 /// The decision logic of one instance, without I/O.
 ///
--- a/crates/orioleroute/src/document.rs
+++ b/crates/orioleroute/src/document.rs
@@ -10,7 +10,7 @@
 
 mod check;
 mod delta;
-mod shape;
+mod schema;
 
 pub use check::Fault;
 pub use delta::Delta;
@@ -212,7 +212,7 @@
 
     /// Returns the JSON schema of the format, which `schema/configuration.json` publishes.
     pub fn schema() -> &'static serde_json::Value {
-        shape::schema()
+        schema::schema()
     }
 
     /// Returns the document as JSON text.
--- a/crates/orioleroute/src/document/check.rs
+++ b/crates/orioleroute/src/document/check.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use super::{Document, FORMAT, shape};
+use super::{Document, FORMAT, schema};
 use crate::hash::Set;
 
 /// A fault in a document.
@@ -34,7 +34,7 @@
 pub(super) fn parse(text: &str) -> Result<Document, Vec<Fault>> {
     let value: Value = serde_json::from_str(text)
         .map_err(|error| vec![Fault::new("document", error, "JSON text")])?;
-    let faults = shape::faults(&value);
+    let faults = schema::faults(&value);
     if !faults.is_empty() {
         return Err(faults);
     }
--- a/crates/orioleroute/src/membership.rs
+++ b/crates/orioleroute/src/membership.rs
@@ -20,7 +20,7 @@
 
 mod lease;
 mod poll;
-mod spread;
+mod propagation;
 
 /// The duration of a lease, counted from the moment at which its renewal was sent.
 pub const LEASE_DURATION: Duration = Duration::from_millis(3_000);
