--- a/crates/orioleroute-node/src/gateway/election.rs
+++ b/crates/orioleroute-node/src/gateway/election.rs
@@ -151,11 +151,11 @@
     let write = Write {
         table: CLUSTER_TABLE,
         key: format!("{LEADER_PREFIX}{zone}"),
-        expected: Some(expected),
+        expected_version: Some(expected),
         value: serde_json::to_vec(&leader).ok(),
     };
     match gateway.store.commit(&[write]).await {
-        Ok(Commit::Done(version)) => {
+        Ok(Commit::Committed(version)) => {
             gateway.leadership.set_leader(&zone, leader, version);
             reconcile(&gateway);
         }
@@ -204,9 +204,9 @@
 async fn step_down_from(gateway: Rc<Gateway>, zone: Arc<str>) {
     let Some(version) = gateway.leadership.fencing_token(&zone) else { return };
     let key = format!("{LEADER_PREFIX}{zone}");
-    let write = Write { table: CLUSTER_TABLE, key, expected: Some(version), value: None };
+    let write = Write { table: CLUSTER_TABLE, key, expected_version: Some(version), value: None };
     match gateway.store.commit(&[write]).await {
-        Ok(Commit::Done(version)) => gateway.leadership.clear_leader(&zone, version),
+        Ok(Commit::Committed(version)) => gateway.leadership.clear_leader(&zone, version),
         Ok(Commit::Conflict) => {}
         Err(error) => {
             warn!(gateway.log, "step-down failed"; "zone" => &*zone,
--- a/crates/orioleroute-node/src/gateway/endpoints.rs
+++ b/crates/orioleroute-node/src/gateway/endpoints.rs
@@ -44,7 +44,7 @@
             return (StatusCode::SERVICE_UNAVAILABLE, Vec::new());
         }
         let life = gateway.settings().resolution_life;
-        (StatusCode::OK, ingress::resolution(&addresses, life))
+        (StatusCode::OK, ingress::resolution_body(&addresses, life))
     };
     serve(gateway, listener, answer, "application/json").await;
 }
--- a/crates/orioleroute-node/src/gateway/forward.rs
+++ b/crates/orioleroute-node/src/gateway/forward.rs
@@ -9,7 +9,7 @@
 use orioleroute::ingress::configuration::Route;
 use orioleroute::prelude::*;
 use orioleroute::scheduler::message::{Reason, RunResult};
-use orioleroute_platform::ingress::{self, Dispatch, Verdict};
+use orioleroute_platform::ingress::{self, Dispatch, ResponseClass};
 use orioleroute_wire::http1::body;
 use orioleroute_wire::http1::head::{self, Request};
 use orioleroute_wire::http1::socket::Socket;
@@ -217,14 +217,16 @@
 
     fn classify(&self, permit: Permit, incoming: Incoming) -> TryOutcome {
         let id = self.attempt.id.as_deref();
-        let verdict = ingress::verdict(incoming.head.status, &incoming.head.headers, id);
+        let verdict = ingress::classify_response(incoming.head.status, &incoming.head.headers, id);
         match verdict {
-            Verdict::Answer => TryOutcome::Answered(permit, Box::new(incoming)),
-            Verdict::Foreign => TryOutcome::Lost(permit, "an answer to another request".into()),
-            Verdict::NotRun | Verdict::Misdirected => {
+            ResponseClass::Valid => TryOutcome::Answered(permit, Box::new(incoming)),
+            ResponseClass::Mismatched => {
+                TryOutcome::Lost(permit, "an answer to another request".into())
+            }
+            ResponseClass::NotRun | ResponseClass::Misdirected => {
                 self.possible_runs.set(self.possible_runs.get() - 1);
                 let result = match verdict {
-                    Verdict::Misdirected => RunResult::Misdirected,
+                    ResponseClass::Misdirected => RunResult::Misdirected,
                     _ => RunResult::Declined,
                 };
                 TryOutcome::NotRun(permit, result)
@@ -262,7 +264,7 @@
             priority: self.has_engine.then_some(self.route.priority.min(MAX_PRIORITY)),
             last_event: self.last_event,
         };
-        ingress::set_dispatch(&mut headers, &dispatch);
+        ingress::set_dispatch_headers(&mut headers, &dispatch);
         headers
     }
 
--- a/crates/orioleroute-node/src/gateway/heartbeat.rs
+++ b/crates/orioleroute-node/src/gateway/heartbeat.rs
@@ -20,7 +20,7 @@
         let (received, buffer) = socket.recv_from(vec![0_u8; MAX_HEARTBEAT_BYTES]).await;
         let Ok((length, peer)) = received else { continue };
         match serde_json::from_slice::<Heartbeat>(&buffer[..length]) {
-            Ok(heartbeat) => gateway.roster().hear(&heartbeat, gateway.now()),
+            Ok(heartbeat) => gateway.roster().record_heartbeat(&heartbeat, gateway.now()),
             Err(error) => {
                 debug!(gateway.log, "unreadable heartbeat"; "peer" => peer.to_string(),
                     "error" => error.to_string());
@@ -46,6 +46,7 @@
 /// Returns the addresses of the peers that get a heartbeat in this round.
 fn due_addresses(gateway: &Gateway, round: u32) -> Vec<SocketAddr> {
     let roster = gateway.roster();
-    let due_peers = roster.peers().filter(|peer| round.is_multiple_of(roster.intervals(peer)));
+    let due_peers =
+        roster.peers().filter(|peer| round.is_multiple_of(roster.heartbeat_stride(peer)));
     due_peers.map(|peer| peer.peer_address).collect()
 }
--- a/crates/orioleroute-node/src/gateway/leadership.rs
+++ b/crates/orioleroute-node/src/gateway/leadership.rs
@@ -130,7 +130,7 @@
 
     /// Returns the fencing token with which this instance schedules a zone, if it does.
     pub fn fencing_token(&self, zone: &str) -> Option<u64> {
-        self.schedulers.borrow().get(zone).map(Scheduler::fencing)
+        self.schedulers.borrow().get(zone).map(Scheduler::fencing_token)
     }
 
     /// Permits orders again, once the leaders have been read from the store.
@@ -200,9 +200,9 @@
             leader.holder == own.name && leader.incarnation == own.incarnation
         });
         let mut schedulers = gateway.leadership.schedulers.borrow_mut();
-        let fencing = schedulers.get(&zone).map(Scheduler::fencing);
-        match (is_own, fencing) {
-            (true, Some(fencing)) if fencing == entry.version => {}
+        let fencing_token = schedulers.get(&zone).map(Scheduler::fencing_token);
+        match (is_own, fencing_token) {
+            (true, Some(fencing_token)) if fencing_token == entry.version => {}
             (true, _) => {
                 let Some(configuration) = gateway.configuration() else { continue };
                 let mut scheduler = Scheduler::new(entry.version, configuration);
@@ -211,8 +211,8 @@
                 schedulers.insert(zone, scheduler);
                 has_started = true;
             }
-            (false, Some(fencing)) => {
-                info!(gateway.log, "scheduling ends"; "zone" => &*zone, "fencing" => fencing,
+            (false, Some(fencing_token)) => {
+                info!(gateway.log, "scheduling ends"; "zone" => &*zone, "fencing" => fencing_token,
                     "successor" => entry.leader.map(|leader| leader.holder.to_string()));
                 stopped.extend(schedulers.remove(&zone));
             }
@@ -220,7 +220,7 @@
         }
     }
     for mut scheduler in stopped {
-        scheduler.abandon();
+        scheduler.refuse_waiting();
         apply_outputs(gateway, None, scheduler.take_outputs());
     }
     if has_started {
@@ -238,7 +238,7 @@
         engines.cloned().collect()
     };
     with_schedulers(gateway, |zone, scheduler, now| {
-        scheduler.list(engines.iter().filter(|upstream| upstream.zone == *zone), now);
+        scheduler.update_engines(engines.iter().filter(|upstream| upstream.zone == *zone), now);
     });
 }
 
@@ -248,12 +248,12 @@
         ToScheduler::Place(placement) => handle_place(gateway, client, *placement),
         ToScheduler::Started { ticket } => {
             let key = RequestKey { client, ticket };
-            with_schedulers(gateway, |_, scheduler, now| scheduler.started(key, now));
+            with_schedulers(gateway, |_, scheduler, now| scheduler.handle_started(key, now));
         }
         ToScheduler::Ended { ticket, result } => {
             let key = RequestKey { client, ticket };
             with_schedulers(gateway, |_, scheduler, now| {
-                scheduler.ended(key, result, now);
+                scheduler.handle_ended(key, result, now);
             });
         }
     }
@@ -261,7 +261,7 @@
 
 /// Handles the end of an instance's connection.
 pub fn handle_disconnect(gateway: &Rc<Gateway>, client: Client) {
-    with_schedulers(gateway, |_, scheduler, now| scheduler.disconnected(client, now));
+    with_schedulers(gateway, |_, scheduler, now| scheduler.handle_disconnect(client, now));
 }
 
 fn handle_place(gateway: &Rc<Gateway>, client: Client, placement: Placement) {
@@ -307,12 +307,12 @@
 fn apply_outputs(gateway: &Rc<Gateway>, zone: Option<&Arc<str>>, outputs: Vec<Output>) {
     for output in outputs {
         match (output, zone) {
-            (Output::Tell(client, message), _) => link::send_to_instance(gateway, client, message),
+            (Output::Send(client, message), _) => link::send_to_instance(gateway, client, message),
             (Output::Decided(decision), _) => log_decision(gateway, zone, &decision),
-            (Output::Order(address, order), Some(zone)) => {
+            (Output::IssueOrder(address, order), Some(zone)) => {
                 monoio::spawn(issue_order(gateway.clone(), zone.clone(), address, order));
             }
-            (Output::Report(address, upstream), Some(zone)) => {
+            (Output::RequestReport(address, upstream), Some(zone)) => {
                 monoio::spawn(request_report(gateway.clone(), zone.clone(), address, upstream));
             }
             (Output::Fenced, Some(zone)) => {
@@ -320,7 +320,7 @@
                 let scheduler = gateway.leadership.schedulers.borrow_mut().remove(zone);
                 gateway.leadership.leaders.borrow_mut().remove(zone);
                 if let Some(mut scheduler) = scheduler {
-                    scheduler.abandon();
+                    scheduler.refuse_waiting();
                     apply_outputs(gateway, None, scheduler.take_outputs());
                 }
                 monoio::spawn(election::read_leaders(gateway.clone()));
@@ -348,9 +348,9 @@
     {
         true => Outcome::Unsent,
         false => {
-            let call = engine::order(&order, &gateway.settings().name);
+            let call = engine::order_request(&order, &gateway.settings().name);
             match gateway.pool.call_within(address, call, ENGINE_TIMEOUT).await {
-                Ok(answer) => engine::outcome(answer.status),
+                Ok(answer) => engine::order_outcome(answer.status),
                 Err(error) if error.step == Step::Connect => Outcome::Unsent,
                 Err(_) => Outcome::Unanswered,
             }
@@ -358,15 +358,16 @@
     };
     debug!(gateway.log, "order"; "upstream" => &*order.upstream,
         "action" => format!("{:?}", order.action),
-        "expected" => order.expected_orders, "outcome" => outcome.to_string());
+        "expected" => order.expected_accepted_orders, "outcome" => outcome.to_string());
     metrics::counter!("orioleroute_orders_total", "outcome" => outcome.to_string()).increment(1);
     let outputs = {
         let now = gateway.now();
         let mut schedulers = gateway.leadership.schedulers.borrow_mut();
-        let scheduler =
-            schedulers.get_mut(&zone).filter(|scheduler| scheduler.fencing() == order.fencing);
+        let scheduler = schedulers
+            .get_mut(&zone)
+            .filter(|scheduler| scheduler.fencing_token() == order.fencing_token);
         scheduler.map(|scheduler| {
-            scheduler.ordered(&order, outcome, now);
+            scheduler.handle_order_outcome(&order, outcome, now);
             scheduler.take_outputs()
         })
     };
@@ -394,7 +395,7 @@
         let now = gateway.now();
         let mut schedulers = gateway.leadership.schedulers.borrow_mut();
         schedulers.get_mut(&zone).map(|scheduler| {
-            scheduler.reported(&upstream, report.as_ref(), now);
+            scheduler.handle_report(&upstream, report.as_ref(), now);
             scheduler.take_outputs()
         })
     };
--- a/crates/orioleroute-node/src/gateway/server.rs
+++ b/crates/orioleroute-node/src/gateway/server.rs
@@ -119,14 +119,14 @@
 /// Reads a request head, or returns `None` if the client closes the connection or is idle for too long.
 async fn read_head(client: &mut Socket, limits: &Limits) -> Result<Option<Request>, Rejection> {
     if client.input.is_empty() {
-        match monoio::time::timeout(limits.idle_time, client.fill()).await {
+        match monoio::time::timeout(limits.idle_timeout, client.fill()).await {
             Ok(Ok(read)) if read > 0 => {}
             _ => return Ok(None),
         }
     }
     let read = async {
         loop {
-            match Request::parse(&mut client.input, limits.head_bytes) {
+            match Request::parse(&mut client.input, limits.max_head_bytes) {
                 Ok(Some(head)) => return Ok(Some(head)),
                 Ok(None) => {}
                 Err(error) => return Err(Rejection::Malformed(error)),
@@ -137,7 +137,7 @@
             }
         }
     };
-    monoio::time::timeout(limits.head_time, read).await.unwrap_or(Err(Rejection::TimedOut))
+    monoio::time::timeout(limits.head_timeout, read).await.unwrap_or(Err(Rejection::TimedOut))
 }
 
 async fn read_body(
@@ -149,7 +149,7 @@
     if head.framing == Framing::Length(0) {
         return Ok(Bytes::new());
     }
-    if matches!(head.framing, Framing::Length(length) if length > limits.body_bytes as u64) {
+    if matches!(head.framing, Framing::Length(length) if length > limits.max_body_bytes as u64) {
         return Err(Rejection::TooLarge);
     }
     if head.expects_continue() && client.input.is_empty() {
@@ -162,7 +162,7 @@
         loop {
             match decoder.decode(&mut client.input) {
                 Ok(Some(chunk)) => {
-                    if whole.len() + chunk.len() > limits.body_bytes {
+                    if whole.len() + chunk.len() > limits.max_body_bytes {
                         return Err(Rejection::TooLarge);
                     }
                     if !gateway.reserve_body(chunk.len()) {
@@ -217,7 +217,7 @@
     closes: bool,
 ) -> std::io::Result<()> {
     let mut headers = HeaderMap::new();
-    ingress::set_own_answer(&mut headers, id, retry_after);
+    ingress::set_local_response_headers(&mut headers, id, retry_after);
     let mut output = Vec::with_capacity(256);
     head::write_response(&mut output, status, &headers);
     head::write_field(&mut output, "content-length", "0");
--- a/crates/orioleroute-node/src/gateway/state.rs
+++ b/crates/orioleroute-node/src/gateway/state.rs
@@ -9,7 +9,7 @@
 use monoio::net::UnixStream;
 use orioleroute::hash::Map;
 use orioleroute::ingress::Configuration;
-use orioleroute::ingress::deadline::Longest;
+use orioleroute::ingress::deadline::DeadlineTracker;
 use orioleroute::ingress::health::Health;
 use orioleroute::ingress::registry::Registry;
 use orioleroute::ingress::roster::{Member, Roster};
@@ -63,7 +63,7 @@
     health: RefCell<Map<Arc<str>, Health>>,
     retry_budgets: RefCell<Map<Arc<str>, retry::Budget>>,
     adapter_versions: RefCell<Map<AdapterKey, u64>>,
-    deadlines: RefCell<Map<Arc<str>, Longest>>,
+    deadlines: RefCell<Map<Arc<str>, DeadlineTracker>>,
     stopping_since: Cell<Option<Instant>>,
     in_flight: Cell<usize>,
     reserved_body_bytes: Cell<usize>,
--- a/crates/orioleroute-node/src/gateway/sync.rs
+++ b/crates/orioleroute-node/src/gateway/sync.rs
@@ -65,7 +65,7 @@
             }
         }
     };
-    follow(&gateway, records::OPERATOR, |_| OPERATOR_WATCH_INTERVAL, apply, |_| {}).await;
+    follow(&gateway, records::OPERATOR_TABLE, |_| OPERATOR_WATCH_INTERVAL, apply, |_| {}).await;
 }
 
 /// Keeps the upstreams up to date.
@@ -89,8 +89,9 @@
         }
         leadership::update_engines(gateway);
     };
-    let on_unavailable = |gateway: &Rc<Gateway>| gateway.registry().lose(gateway.now());
-    follow(&gateway, records::UPSTREAMS, upstream_watch_interval, apply, on_unavailable).await;
+    let on_unavailable = |gateway: &Rc<Gateway>| gateway.registry().mark_unavailable(gateway.now());
+    follow(&gateway, records::UPSTREAMS_TABLE, upstream_watch_interval, apply, on_unavailable)
+        .await;
 }
 
 /// Registers this instance, and keeps the other instances and the leaders up to date.
@@ -175,10 +176,10 @@
     let member = gateway.roster().own().clone();
     let key = format!("{MEMBER_PREFIX}{}", member.name);
     let value = serde_json::to_vec(&member).unwrap_or_default();
-    let write = Write { table: CLUSTER_TABLE, key, expected: None, value: Some(value) };
+    let write = Write { table: CLUSTER_TABLE, key, expected_version: None, value: Some(value) };
     loop {
         match gateway.store.commit(std::slice::from_ref(&write)).await {
-            Ok(Commit::Done(_) | Commit::Conflict) => return,
+            Ok(Commit::Committed(_) | Commit::Conflict) => return,
             Err(error) => warn!(gateway.log, "registration failed"; "error" => error.to_string()),
         }
         monoio::time::sleep(RETRY_DELAY).await;
@@ -191,7 +192,7 @@
         let member = row.value.as_deref().map(serde_json::from_slice::<Member>);
         match member {
             None => gateway.roster().remove(name),
-            Some(Ok(member)) => gateway.roster().admit(member, now),
+            Some(Ok(member)) => gateway.roster().upsert(member, now),
             Some(Err(error)) => {
                 warn!(gateway.log, "unreadable row"; "row" => row.key, "error" => error.to_string());
             }
--- a/crates/orioleroute/src/ingress/configuration.rs
+++ b/crates/orioleroute/src/ingress/configuration.rs
@@ -126,7 +126,7 @@
     /// Its name.
     pub name: Arc<str>,
     /// The number of connections that one upstream accepts from all instances together.
-    pub connections: usize,
+    pub max_connections: usize,
     /// The capacity of its upstreams, if they are model engines.
     pub engine: Option<Engine>,
 }
@@ -139,7 +139,7 @@
     /// The size of its cache, in tokens.
     pub cache_tokens: u64,
     /// The number of adapters that it holds at once, including those being loaded.
-    pub adapter_places: usize,
+    pub adapter_slots: usize,
     /// The memory for weights and adapters, in MB.
     pub weights_mb: f64,
     /// The base models that it may hold.
@@ -163,23 +163,23 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// The maximum size of a request head, in bytes.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// The maximum size of a request body, in bytes.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// The maximum time from the first byte of a request head to its end.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// The maximum time between two requests on a connection.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
     /// Returns the limits in effect until a configuration is known, which are usual for HTTP servers.
     fn default() -> Self {
         Self {
-            head_bytes: 16 << 10,
-            body_bytes: 4 << 20,
-            head_time: Duration::from_secs(3),
-            idle_time: Duration::from_secs(15),
+            max_head_bytes: 16 << 10,
+            max_body_bytes: 4 << 20,
+            head_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
--- a/crates/orioleroute/src/ingress/deadline.rs
+++ b/crates/orioleroute/src/ingress/deadline.rs
@@ -8,15 +8,15 @@
 /// Window over which the longest deadline is determined. A route gets many first attempts in it.
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// The longest deadline that clients of one route have had in the current and the previous window.
+/// Tracks the longest deadline of one route's clients in the current and the previous window.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Longest {
+pub struct DeadlineTracker {
     current: Duration,
     previous: Duration,
     since: Instant,
 }
 
-impl Longest {
+impl DeadlineTracker {
     /// Records the time left until a client's deadline, and returns how long the client is estimated to
     /// have been waiting.
     pub fn elapsed(&mut self, time_left: Duration, now: Instant) -> Duration {
--- a/crates/orioleroute/src/ingress/registry.rs
+++ b/crates/orioleroute/src/ingress/registry.rs
@@ -49,8 +49,8 @@
             .filter(move |upstream| &*upstream.service == service && upstream.state == State::Ready)
     }
 
-    /// Records that the list does not answer.
-    pub fn lose(&mut self, now: Instant) {
+    /// Records that the list is unavailable.
+    pub fn mark_unavailable(&mut self, now: Instant) {
         self.unavailable = true;
         self.last_outage = Some(now);
     }
--- a/crates/orioleroute/src/ingress/roster.rs
+++ b/crates/orioleroute/src/ingress/roster.rs
@@ -85,7 +85,7 @@
     }
 
     /// Adds or updates another instance from its entry in the table.
-    pub fn admit(&mut self, member: Member, now: Instant) {
+    pub fn upsert(&mut self, member: Member, now: Instant) {
         if member.name == self.own.name {
             return;
         }
@@ -109,7 +109,7 @@
     }
 
     /// Records a heartbeat. Those of unknown instances are ignored.
-    pub fn hear(&mut self, heartbeat: &Heartbeat, now: Instant) {
+    pub fn record_heartbeat(&mut self, heartbeat: &Heartbeat, now: Instant) {
         if let Some(peer) = self.peers.get_mut(&heartbeat.name) {
             peer.last_heartbeat = Some(now);
             peer.is_serving = heartbeat.is_serving;
@@ -159,7 +159,7 @@
     }
 
     /// Returns the number of heartbeat intervals between two heartbeats to a member.
-    pub fn intervals(&self, member: &Member) -> u32 {
+    pub fn heartbeat_stride(&self, member: &Member) -> u32 {
         if member.region == self.own.region { 1 } else { REMOTE_INTERVALS }
     }
 
@@ -173,7 +173,7 @@
     }
 
     fn has_recent_heartbeat(&self, peer: &Peer, intervals: f64, now: Instant) -> bool {
-        let interval = HEARTBEAT_INTERVAL * self.intervals(&peer.member);
+        let interval = HEARTBEAT_INTERVAL * self.heartbeat_stride(&peer.member);
         now.since(peer.last_heartbeat.unwrap_or(peer.added)) < interval.mul_f64(intervals)
     }
 
--- a/crates/orioleroute/src/ingress/upstream.rs
+++ b/crates/orioleroute/src/ingress/upstream.rs
@@ -23,7 +23,7 @@
     /// identifies one incarnation.
     pub started_ms: u64,
     /// The number of orders that it has accepted since its start.
-    pub orders: u64,
+    pub accepted_orders: u64,
     /// The base models that it holds.
     pub models: Vec<Model>,
 }
--- a/crates/orioleroute/src/scheduler/dispatch.rs
+++ b/crates/orioleroute/src/scheduler/dispatch.rs
@@ -170,6 +170,6 @@
         let upstream = Some(runner.id.clone());
         self.granted.insert(item.key, key);
         self.decide(&item.request, item.forecast.step.name(), upstream, item.forecast, now);
-        self.outputs.push(Output::Tell(item.key.client, ToInstance::Grant(grant)));
+        self.outputs.push(Output::Send(item.key.client, ToInstance::Grant(grant)));
     }
 }
--- a/crates/orioleroute/src/scheduler/mod.rs
+++ b/crates/orioleroute/src/scheduler/mod.rs
@@ -51,7 +51,7 @@
 
 /// The scheduler of one availability zone.
 pub struct Scheduler {
-    fencing: u64,
+    fencing_token: u64,
     configuration: Arc<Configuration>,
     runners: SlotMap<key::Upstream, Runner>,
     by_id: Map<Arc<str>, key::Upstream>,
@@ -86,10 +86,10 @@
 }
 
 impl Scheduler {
-    /// Returns a scheduler that issues its orders with the fencing token `fencing`.
-    pub fn new(fencing: u64, configuration: Arc<Configuration>) -> Self {
+    /// Returns a scheduler that issues its orders with this fencing token.
+    pub fn new(fencing_token: u64, configuration: Arc<Configuration>) -> Self {
         Self {
-            fencing,
+            fencing_token,
             configuration,
             runners: SlotMap::with_key(),
             by_id: Map::default(),
@@ -103,8 +103,8 @@
     }
 
     /// Returns the fencing token.
-    pub fn fencing(&self) -> u64 {
-        self.fencing
+    pub fn fencing_token(&self) -> u64 {
+        self.fencing_token
     }
 
     /// Returns the number of waiting requests.
@@ -128,7 +128,7 @@
     }
 
     /// Replaces the set of the zone's model engines. Engines that are no longer listed are removed.
-    pub fn list<'a>(
+    pub fn update_engines<'a>(
         &mut self,
         descriptions: impl IntoIterator<Item = &'a Description>,
         now: Instant,
@@ -184,7 +184,7 @@
                 self.dispatch(now);
                 if self.waiting.iter().any(|waiting| waiting.key == key) {
                     let queued = ToInstance::Queued { ticket: key.ticket };
-                    self.outputs.push(Output::Tell(client, queued));
+                    self.outputs.push(Output::Send(client, queued));
                 }
             }
             Err(refusal) => {
@@ -207,7 +207,7 @@
     }
 
     /// Handles the first event of a request's response.
-    pub fn started(&mut self, key: RequestKey, now: Instant) {
+    pub fn handle_started(&mut self, key: RequestKey, now: Instant) {
         if let Some(runner) =
             self.granted.get(&key).and_then(|runner| self.runners.get_mut(*runner))
         {
@@ -217,7 +217,7 @@
     }
 
     /// Handles the end of a request, which is waiting or has been granted an engine.
-    pub fn ended(&mut self, key: RequestKey, result: Option<RunResult>, now: Instant) {
+    pub fn handle_ended(&mut self, key: RequestKey, result: Option<RunResult>, now: Instant) {
         if let Some(index) = self.waiting.iter().position(|waiting| waiting.key == key) {
             let waiting = self.waiting.swap_remove(index);
             self.unassign(&waiting);
@@ -230,7 +230,7 @@
 
     /// Handles the disconnection of an instance: its waiting requests are dropped, its running ones may
     /// continue.
-    pub fn disconnected(&mut self, client: Client, now: Instant) {
+    pub fn handle_disconnect(&mut self, client: Client, now: Instant) {
         let (gone, rest) = std::mem::take(&mut self.waiting)
             .into_iter()
             .partition::<Vec<_>, _>(|waiting| waiting.key.client == client);
@@ -242,14 +242,14 @@
     }
 
     /// Refuses all waiting requests, because another scheduler has taken over.
-    pub fn abandon(&mut self) {
+    pub fn refuse_waiting(&mut self) {
         for waiting in std::mem::take(&mut self.waiting) {
             self.send_refusal(waiting.key, Reason::NotScheduler, Duration::ZERO);
         }
     }
 
     /// Handles the outcome of an order.
-    pub fn ordered(&mut self, order: &Order, outcome: Outcome, now: Instant) {
+    pub fn handle_order_outcome(&mut self, order: &Order, outcome: Outcome, now: Instant) {
         let Some(key) = self.by_id.get(&order.upstream).copied() else { return };
         let runner = &mut self.runners[key];
         if runner.certainty == Certainty::OrderPending {
@@ -281,7 +281,7 @@
     }
 
     /// Handles an engine's report, or `None` if the engine did not send one.
-    pub fn reported(&mut self, upstream: &str, report: Option<&Report>, now: Instant) {
+    pub fn handle_report(&mut self, upstream: &str, report: Option<&Report>, now: Instant) {
         let Some(key) = self.by_id.get(upstream).copied() else { return };
         let runner = &mut self.runners[key];
         if !matches!(runner.certainty, Certainty::ReportPending) {
@@ -419,7 +419,7 @@
             retry_after_ms: retry_after.as_millis() as u64,
             reason,
         };
-        self.outputs.push(Output::Tell(key.client, refusal));
+        self.outputs.push(Output::Send(key.client, refusal));
     }
 
     fn decide(
--- a/crates/orioleroute/src/scheduler/order.rs
+++ b/crates/orioleroute/src/scheduler/order.rs
@@ -14,9 +14,9 @@
     pub action: Action,
     /// The number of orders that the engine must have accepted before, so that a delayed order cannot
     /// take effect after a newer one.
-    pub expected_orders: Option<u64>,
+    pub expected_accepted_orders: Option<u64>,
     /// The fencing token of the scheduler that issues the order.
-    pub fencing: u64,
+    pub fencing_token: u64,
 }
 
 /// The action that an order requests.
@@ -64,7 +64,7 @@
     /// Whether an order for a base model is in progress.
     pub is_busy: bool,
     /// The number of orders accepted since the engine started.
-    pub orders: u64,
+    pub accepted_orders: u64,
     /// The engine's start time, in milliseconds since the Unix epoch.
     pub started_ms: Option<u64>,
     /// The number of running requests.
--- a/crates/orioleroute/src/scheduler/orders.rs
+++ b/crates/orioleroute/src/scheduler/orders.rs
@@ -74,7 +74,7 @@
         }
         let cold = self.cold_loads(now);
         let Some((adapter, is_cold)) = self.next_load(key, cold, now) else { return };
-        let capacity = self.engine(&runner.service).map_or(0, |engine| engine.adapter_places);
+        let capacity = self.engine(&runner.service).map_or(0, |engine| engine.adapter_slots);
         let runner = &mut self.runners[key];
         if runner.adapter_slots_used() >= capacity {
             let Some((victim, _)) = runner.victim(now) else { return };
@@ -118,17 +118,17 @@
     }
 
     pub(super) fn issue_order(&mut self, key: key::Upstream, model: Arc<str>, action: Action) {
-        let fencing = self.fencing;
+        let fencing_token = self.fencing_token;
         let runner = &mut self.runners[key];
         runner.certainty = Certainty::OrderPending;
         let order = Order {
             upstream: runner.id.clone(),
             model,
             action,
-            expected_orders: Some(runner.orders),
-            fencing,
+            expected_accepted_orders: Some(runner.accepted_orders),
+            fencing_token,
         };
-        self.outputs.push(Output::Order(runner.address, order));
+        self.outputs.push(Output::IssueOrder(runner.address, order));
     }
 
     /// Loads the base model on an engine that has none, one engine at a time, because concurrent loads
@@ -161,7 +161,7 @@
         match runner.certainty {
             Certainty::ReportDue(at) if at <= now => {
                 runner.certainty = Certainty::ReportPending;
-                let output = Output::Report(runner.address, runner.id.clone());
+                let output = Output::RequestReport(runner.address, runner.id.clone());
                 self.outputs.push(output);
                 return;
             }
@@ -209,7 +209,7 @@
         Outcome::Holds => runner.base_model = BaseModel::Present(model.clone()),
         Outcome::Accepted => {
             if let BaseModel::Loading { check_at, is_accepted, .. } = &mut runner.base_model {
-                runner.orders += u64::from(!std::mem::replace(is_accepted, true));
+                runner.accepted_orders += u64::from(!std::mem::replace(is_accepted, true));
                 *check_at = (*check_at).max(now + MODEL_CHECK_INTERVAL);
             }
         }
@@ -254,7 +254,7 @@
                 && let SlotState::Loading { check_at, is_accepted, since, .. } = &mut slot.state
             {
                 if !std::mem::replace(is_accepted, true) {
-                    runner.orders += 1;
+                    runner.accepted_orders += 1;
                     *since = now;
                 }
                 *check_at = (*check_at).max(now + LOAD_CHECK_INTERVAL);
@@ -291,7 +291,7 @@
 ) {
     match outcome {
         Outcome::Holds => {
-            runner.orders += 1;
+            runner.accepted_orders += 1;
             match runner.outdated.iter().position(|outdated| outdated == adapter) {
                 Some(index) => {
                     runner.outdated.remove(index);
@@ -303,7 +303,7 @@
         }
         Outcome::Accepted => {
             // The engine waits for requests that are unknown to this scheduler.
-            runner.orders += 1;
+            runner.accepted_orders += 1;
             runner.certainty = Certainty::ReportDue(now + REPORT_DELAY);
         }
         Outcome::Conflict | Outcome::Refused | Outcome::Unsent => {
--- a/crates/orioleroute/src/scheduler/output.rs
+++ b/crates/orioleroute/src/scheduler/output.rs
@@ -9,13 +9,13 @@
 #[derive(Clone, Debug)]
 pub enum Output {
     /// Send a message to an instance.
-    Tell(Client, ToInstance),
+    Send(Client, ToInstance),
     /// Issue an order to an engine. The outcome is passed to
-    /// [`Scheduler::ordered`](super::Scheduler::ordered).
-    Order(std::net::SocketAddr, Order),
+    /// [`Scheduler::handle_order_outcome`](super::Scheduler::handle_order_outcome).
+    IssueOrder(std::net::SocketAddr, Order),
     /// Request a report from an engine. It is passed to
-    /// [`Scheduler::reported`](super::Scheduler::reported).
-    Report(std::net::SocketAddr, Arc<str>),
+    /// [`Scheduler::handle_report`](super::Scheduler::handle_report).
+    RequestReport(std::net::SocketAddr, Arc<str>),
     /// Another scheduler has issued orders, so this one must stop.
     Fenced,
     /// Log the decision on a request.
--- a/crates/orioleroute/src/scheduler/placement.rs
+++ b/crates/orioleroute/src/scheduler/placement.rs
@@ -227,7 +227,7 @@
     }
     let is_cold = !runner.is_warm(adapter);
     let base_penalty = if is_cold { FETCH_PENALTY } else { LOAD_PENALTY };
-    let load_penalty = match runner.adapter_slots_free(engine.adapter_places) {
+    let load_penalty = match runner.adapter_slots_free(engine.adapter_slots) {
         Some(0) => match runner.victim(now) {
             Some((_, popularity)) => base_penalty + EVICTION_COST_PER_REQUEST.mul_f64(popularity),
             None => return queued(Obstacle::Places),
--- a/crates/orioleroute/src/scheduler/runner.rs
+++ b/crates/orioleroute/src/scheduler/runner.rs
@@ -51,7 +51,7 @@
     /// The health derived from the outcomes of requests and orders.
     pub health: Health,
     /// The number of orders that it is known to have accepted.
-    pub orders: u64,
+    pub accepted_orders: u64,
     /// Whether the state is known well enough to issue orders.
     pub certainty: Certainty,
     /// Whether the last order could not be sent or was not answered.
@@ -203,7 +203,7 @@
             adapter_slots: Map::default(),
             in_flight: Map::default(),
             health: Health::default(),
-            orders: description.orders,
+            accepted_orders: description.accepted_orders,
             certainty: Certainty::ReportDue(now),
             is_unresponsive: false,
             queued_tokens: 0,
@@ -219,7 +219,7 @@
 
     /// Replaces the state by that of a report, for an engine that has no order pending.
     pub fn adopt_report(&mut self, report: &Report, now: Instant) {
-        self.orders = report.orders;
+        self.accepted_orders = report.accepted_orders;
         self.outdated.clear();
         let base = self.base_model.clone();
         self.adopt_models(&report.models, now);
--- a/crates/orioleroute/tests/ingress.rs
+++ b/crates/orioleroute/tests/ingress.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use orioleroute::ingress::deadline::Longest;
+use orioleroute::ingress::deadline::DeadlineTracker;
 use orioleroute::ingress::health::{Health, Outcome};
 use orioleroute::ingress::registry::{Change, RECOVERY_GRACE, Registry};
 use orioleroute::ingress::roster::{Heartbeat, Member, Roster};
@@ -20,7 +20,7 @@
         slots: 6,
         state,
         started_ms: 1,
-        orders: 0,
+        accepted_orders: 0,
         models: Vec::new(),
     }
 }
@@ -77,7 +77,7 @@
 fn entries_that_expired_in_an_outage_are_kept_for_the_recovery_grace() {
     let mut registry = registry(&["a", "b"]);
     let recovered = Instant::from_millis(20_000);
-    registry.lose(Instant::from_millis(15_000));
+    registry.mark_unavailable(Instant::from_millis(15_000));
 
     registry.replace([upstream("b", State::Ready)], recovered);
     assert_eq!(listed(&registry), ["a", "b"]);
@@ -91,7 +91,7 @@
 fn an_entry_missing_after_the_recovery_grace_is_dropped() {
     let mut registry = registry(&["a", "b"]);
     let recovered = Instant::from_millis(20_000);
-    registry.lose(Instant::from_millis(15_000));
+    registry.mark_unavailable(Instant::from_millis(15_000));
     registry.replace([upstream("b", State::Ready)], recovered);
 
     registry.expire(recovered + RECOVERY_GRACE);
@@ -102,9 +102,9 @@
 #[test]
 fn nothing_expires_while_the_list_is_unavailable() {
     let mut registry = registry(&["a", "b"]);
-    registry.lose(Instant::from_millis(15_000));
+    registry.mark_unavailable(Instant::from_millis(15_000));
     registry.replace([upstream("b", State::Ready)], Instant::from_millis(16_000));
-    registry.lose(Instant::from_millis(16_500));
+    registry.mark_unavailable(Instant::from_millis(16_500));
 
     registry.expire(Instant::from_millis(60_000));
 
@@ -117,8 +117,8 @@
     let mut roster = Roster::new(member("n1", "zurich"));
     roster.set_serving(true);
     for (name, region) in [("n2", "zurich"), ("n3", "geneva")] {
-        roster.admit(member(name, region), now);
-        roster.hear(&heartbeat(name, true), now);
+        roster.upsert(member(name, region), now);
+        roster.record_heartbeat(&heartbeat(name, true), now);
     }
 
     assert_eq!(roster.addresses("zurich", now).len(), 2);
@@ -136,8 +136,8 @@
     let last_heartbeat = Instant::from_millis(1_000);
     let mut roster = Roster::new(member("n1", "zurich"));
     roster.set_serving(true);
-    roster.admit(member("n2", "zurich"), last_heartbeat);
-    roster.hear(&heartbeat("n2", is_serving), last_heartbeat);
+    roster.upsert(member("n2", "zurich"), last_heartbeat);
+    roster.record_heartbeat(&heartbeat("n2", is_serving), last_heartbeat);
 
     let addresses = roster.addresses("zurich", last_heartbeat + Duration::from_millis(silence_ms));
 
@@ -149,8 +149,8 @@
     let last_heartbeat = Instant::from_millis(1_000);
     let mut roster = Roster::new(member("n1", "zurich"));
     for (name, region) in [("n2", "zurich"), ("n3", "geneva")] {
-        roster.admit(member(name, region), last_heartbeat);
-        roster.hear(&heartbeat(name, true), last_heartbeat);
+        roster.upsert(member(name, region), last_heartbeat);
+        roster.record_heartbeat(&heartbeat(name, true), last_heartbeat);
     }
 
     let later = last_heartbeat + Duration::from_millis(4_000);
@@ -189,24 +189,24 @@
 
 #[test]
 fn a_shorter_deadline_shows_how_long_the_client_has_waited() {
-    let mut longest = Longest::default();
+    let mut tracker = DeadlineTracker::default();
     let now = Instant::from_millis(1_000);
-    longest.elapsed(Duration::from_millis(4_000), now);
+    tracker.elapsed(Duration::from_millis(4_000), now);
 
-    let elapsed = longest.elapsed(Duration::from_millis(3_700), now);
+    let elapsed = tracker.elapsed(Duration::from_millis(3_700), now);
 
     assert_eq!(elapsed, Duration::from_millis(300));
 }
 
 #[test]
 fn when_all_clients_shorten_their_deadline_the_old_one_is_forgotten() {
-    let mut longest = Longest::default();
-    longest.elapsed(Duration::from_millis(4_000), Instant::from_millis(0));
+    let mut tracker = DeadlineTracker::default();
+    tracker.elapsed(Duration::from_millis(4_000), Instant::from_millis(0));
     for second in 1..=30 {
-        longest.elapsed(Duration::from_millis(2_000), Instant::from_millis(second * 1_000));
+        tracker.elapsed(Duration::from_millis(2_000), Instant::from_millis(second * 1_000));
     }
 
-    let elapsed = longest.elapsed(Duration::from_millis(2_000), Instant::from_millis(31_000));
+    let elapsed = tracker.elapsed(Duration::from_millis(2_000), Instant::from_millis(31_000));
 
     assert_eq!(elapsed, Duration::ZERO);
 }
--- a/crates/orioleroute/tests/scheduler.rs
+++ b/crates/orioleroute/tests/scheduler.rs
@@ -33,13 +33,13 @@
 
     scheduler.place(CLIENT, placement(1, "a1"), now);
     let load = orders(&scheduler.take_outputs()).remove(0);
-    scheduler.ordered(&load, Outcome::Accepted, now);
+    scheduler.handle_order_outcome(&load, Outcome::Accepted, now);
     let later = now + Duration::from_millis(260);
     scheduler.tick(later);
     let confirmation = orders(&scheduler.take_outputs()).remove(0);
-    scheduler.ordered(&confirmation, Outcome::Holds, later);
+    scheduler.handle_order_outcome(&confirmation, Outcome::Holds, later);
 
-    assert_eq!((load.expected_orders, load.fencing), (Some(0), 7));
+    assert_eq!((load.expected_accepted_orders, load.fencing_token), (Some(0), 7));
     assert_eq!(grants(&scheduler.take_outputs()), [1]);
 }
 
@@ -48,14 +48,14 @@
     let (mut scheduler, mut now) = scheduler(&[description(0, &[])]);
     scheduler.place(CLIENT, placement(1, "a1"), now);
     let load = orders(&scheduler.take_outputs()).remove(0);
-    scheduler.ordered(&load, Outcome::Accepted, now);
+    scheduler.handle_order_outcome(&load, Outcome::Accepted, now);
 
     for _ in 0..3 {
         now += Duration::from_millis(300);
         scheduler.tick(now);
         let again = orders(&scheduler.take_outputs()).remove(0);
-        assert_eq!(again.expected_orders, Some(1));
-        scheduler.ordered(&again, Outcome::Accepted, now);
+        assert_eq!(again.expected_accepted_orders, Some(1));
+        scheduler.handle_order_outcome(&again, Outcome::Accepted, now);
     }
 }
 
@@ -65,7 +65,7 @@
     scheduler.place(CLIENT, placement(1, "a1"), now);
     let lost = orders(&scheduler.take_outputs()).remove(0);
 
-    scheduler.ordered(&lost, Outcome::Unanswered, now);
+    scheduler.handle_order_outcome(&lost, Outcome::Unanswered, now);
     scheduler.tick(now + Duration::from_millis(1));
 
     assert_eq!(orders(&scheduler.take_outputs()), [lost]);
@@ -77,14 +77,18 @@
     scheduler.place(CLIENT, placement(1, "a1"), now);
     let load = orders(&scheduler.take_outputs()).remove(0);
 
-    scheduler.ordered(&load, Outcome::Conflict, now);
+    scheduler.handle_order_outcome(&load, Outcome::Conflict, now);
     let later = now + Duration::from_millis(400);
     scheduler.tick(later);
     let report_requests = scheduler.take_outputs();
     let models = description(0, &["a1"]).models;
-    scheduler.reported("i-0", Some(&Report { orders: 5, models, ..Report::default() }), later);
+    scheduler.handle_report(
+        "i-0",
+        Some(&Report { accepted_orders: 5, models, ..Report::default() }),
+        later,
+    );
 
-    assert!(report_requests.iter().any(|output| matches!(output, Output::Report(..))));
+    assert!(report_requests.iter().any(|output| matches!(output, Output::RequestReport(..))));
     assert_eq!(grants(&scheduler.take_outputs()), [1]);
 }
 
@@ -98,8 +102,8 @@
             ticket += 1;
             now += Duration::from_millis(200);
             scheduler.place(CLIENT, placement(ticket, name), now);
-            scheduler.started(key(ticket), now);
-            scheduler.ended(key(ticket), Some(RunResult::Answered), now);
+            scheduler.handle_started(key(ticket), now);
+            scheduler.handle_ended(key(ticket), Some(RunResult::Answered), now);
         }
     }
     scheduler.take_outputs();
@@ -116,7 +120,7 @@
     let (mut scheduler, now) = scheduler(&[description(0, &names)]);
     for (ticket, name) in names.iter().enumerate() {
         scheduler.place(CLIENT, placement(ticket as u64, name), now);
-        scheduler.started(key(ticket as u64), now);
+        scheduler.handle_started(key(ticket as u64), now);
     }
     scheduler.take_outputs();
 
@@ -132,7 +136,7 @@
 
     scheduler.place(CLIENT, request, now);
     let unload = orders(&scheduler.take_outputs()).remove(0);
-    scheduler.ordered(&unload, Outcome::Holds, now);
+    scheduler.handle_order_outcome(&unload, Outcome::Holds, now);
     let load = orders(&scheduler.take_outputs()).remove(0);
 
     assert_eq!(unload.action, Action::UnloadAdapter { adapter: "a1".into() });
@@ -151,7 +155,7 @@
     scheduler.place(CLIENT, placement(1, "a1"), now);
     let load = orders(&scheduler.take_outputs()).remove(0);
 
-    scheduler.ordered(&load, Outcome::Fenced, now);
+    scheduler.handle_order_outcome(&load, Outcome::Fenced, now);
 
     let outputs = scheduler.take_outputs();
     assert!(outputs.iter().any(|output| matches!(output, Output::Fenced)));
@@ -190,7 +194,7 @@
     let mut list = vec![description(1, &["a1"])];
     list.extend(is_listed.then_some(draining));
 
-    scheduler.list(&list, now);
+    scheduler.update_engines(&list, now);
     for ticket in 1..=8 {
         scheduler.place(CLIENT, placement(ticket, "a1"), now);
     }
@@ -208,7 +212,7 @@
     let (mut scheduler, now) = scheduler(&[description(0, &[])]);
     for ticket in 0..(ADAPTER_SLOTS as u64 + 4) {
         scheduler.place(CLIENT, placement(ticket, &format!("b{ticket}")), now);
-        scheduler.ended(key(ticket), None, now);
+        scheduler.handle_ended(key(ticket), None, now);
     }
     scheduler.take_outputs();
 
@@ -227,10 +231,10 @@
     empty.models.clear();
     let now = Instant::from_millis(1_000);
     let mut scheduler = Scheduler::new(7, configuration());
-    scheduler.list(&[empty], Instant::ZERO);
+    scheduler.update_engines(&[empty], Instant::ZERO);
     scheduler.tick(now);
 
-    scheduler.reported("i-0", Some(&Report::default()), now);
+    scheduler.handle_report("i-0", Some(&Report::default()), now);
 
     let given = orders(&scheduler.take_outputs());
     assert_eq!(given.iter().map(|order| &order.action).collect::<Vec<_>>(), [&Action::LoadModel]);
@@ -247,11 +251,11 @@
         .collect();
     let now = Instant::from_millis(1_000);
     let mut scheduler = Scheduler::new(7, configuration());
-    scheduler.list(&empties, Instant::ZERO);
+    scheduler.update_engines(&empties, Instant::ZERO);
     scheduler.tick(now);
 
     for empty in &empties {
-        scheduler.reported(&empty.id, Some(&Report::default()), now);
+        scheduler.handle_report(&empty.id, Some(&Report::default()), now);
     }
 
     assert_eq!(orders(&scheduler.take_outputs()).len(), 1);
@@ -263,7 +267,7 @@
     scheduler.place(CLIENT, placement(1, "a1"), now);
     let lost = orders(&scheduler.take_outputs()).remove(0);
 
-    scheduler.ordered(&lost, Outcome::Unanswered, now + Duration::from_millis(250));
+    scheduler.handle_order_outcome(&lost, Outcome::Unanswered, now + Duration::from_millis(250));
 
     let next = orders(&scheduler.take_outputs());
     assert!(next.iter().any(|order| order.upstream != lost.upstream), "{next:?}");
@@ -297,10 +301,10 @@
     }
     let first = orders(&scheduler.take_outputs());
     assert!(first.len() < 11, "not all can be fetched at once");
-    first.iter().for_each(|order| scheduler.ordered(order, Outcome::Accepted, now));
+    first.iter().for_each(|order| scheduler.handle_order_outcome(order, Outcome::Accepted, now));
 
     let later = now + Duration::from_millis(250);
-    scheduler.ordered(&first[0], Outcome::Holds, later);
+    scheduler.handle_order_outcome(&first[0], Outcome::Holds, later);
 
     let adapter = "a11".into();
     let next = orders(&scheduler.take_outputs()).into_iter().map(|order| order.action);
@@ -350,13 +354,13 @@
     for ticket in 0..4 {
         scheduler.place(CLIENT, placement(ticket, &format!("a{ticket}")), now);
         loads.push(orders(&scheduler.take_outputs()).remove(0));
-        scheduler.ordered(&loads[loads.len() - 1], Outcome::Accepted, now);
+        scheduler.handle_order_outcome(&loads[loads.len() - 1], Outcome::Accepted, now);
     }
     now += Duration::from_millis(900);
-    loads.iter().for_each(|load| scheduler.ordered(load, Outcome::Holds, now));
+    loads.iter().for_each(|load| scheduler.handle_order_outcome(load, Outcome::Holds, now));
     for ticket in 0..4 {
-        scheduler.started(key(ticket), now);
-        scheduler.ended(key(ticket), Some(RunResult::Answered), now);
+        scheduler.handle_started(key(ticket), now);
+        scheduler.handle_ended(key(ticket), Some(RunResult::Answered), now);
     }
     scheduler.take_outputs();
 
--- a/crates/orioleroute/tests/scheduling/mod.rs
+++ b/crates/orioleroute/tests/scheduling/mod.rs
@@ -40,11 +40,11 @@
     let engine = Engine {
         slots: 64,
         cache_tokens: 150_000,
-        adapter_places: ADAPTER_SLOTS,
+        adapter_slots: ADAPTER_SLOTS,
         weights_mb: 66_500.0,
         models: vec![model],
     };
-    let service = Service { name: "notices".into(), connections: 370, engine: Some(engine) };
+    let service = Service { name: "notices".into(), max_connections: 370, engine: Some(engine) };
     Arc::new(Configuration::new(1, [], [service], Limits::default()))
 }
 
@@ -58,7 +58,7 @@
         slots: 64,
         state: State::Ready,
         started_ms: 1,
-        orders: 0,
+        accepted_orders: 0,
         models: vec![upstream::Model { name: "m".into(), adapters: held.collect() }],
     }
 }
@@ -87,12 +87,12 @@
 /// Returns a scheduler that has received the reports of these engines, and the current time.
 pub fn scheduler(descriptions: &[Description]) -> (Scheduler, Instant) {
     let mut scheduler = Scheduler::new(7, configuration());
-    scheduler.list(descriptions, Instant::ZERO);
+    scheduler.update_engines(descriptions, Instant::ZERO);
     let now = START;
     scheduler.tick(now);
     for description in descriptions {
         let report = Report { models: description.models.clone(), ..Report::default() };
-        scheduler.reported(&description.id, Some(&report), now);
+        scheduler.handle_report(&description.id, Some(&report), now);
     }
     scheduler.take_outputs();
     (scheduler, now)
@@ -100,7 +100,7 @@
 
 pub fn orders(outputs: &[Output]) -> Vec<Order> {
     let orders = outputs.iter().filter_map(|output| match output {
-        Output::Order(_, order) => Some(order.clone()),
+        Output::IssueOrder(_, order) => Some(order.clone()),
         _ => None,
     });
     orders.collect()
@@ -108,7 +108,7 @@
 
 pub fn grants(outputs: &[Output]) -> Vec<u64> {
     let grants = outputs.iter().filter_map(|output| match output {
-        Output::Tell(_, ToInstance::Grant(grant)) => Some(grant.ticket),
+        Output::Send(_, ToInstance::Grant(grant)) => Some(grant.ticket),
         _ => None,
     });
     grants.collect()
@@ -116,7 +116,7 @@
 
 pub fn refusals(outputs: &[Output]) -> Vec<(u64, Reason)> {
     let refusals = outputs.iter().filter_map(|output| match output {
-        Output::Tell(_, ToInstance::Refuse { ticket, reason, .. }) => Some((*ticket, *reason)),
+        Output::Send(_, ToInstance::Refuse { ticket, reason, .. }) => Some((*ticket, *reason)),
         _ => None,
     });
     refusals.collect()
@@ -166,7 +166,7 @@
     held: BTreeSet<Arc<str>>,
     cached: BTreeSet<Arc<str>>,
     loading: BTreeMap<Arc<str>, (f64, bool)>,
-    orders: u64,
+    accepted_orders: u64,
     unresponsive_since: Option<Instant>,
     /// Orders without an answer, and when they time out.
     unanswered: Vec<(Instant, Order)>,
@@ -211,7 +211,7 @@
             held: BTreeSet::new(),
             cached: BTreeSet::new(),
             loading: BTreeMap::new(),
-            orders: 0,
+            accepted_orders: 0,
             unresponsive_since: None,
             unanswered: Vec::new(),
             prompts: Vec::new(),
@@ -247,7 +247,7 @@
             pending.remove(&ticket);
             result.failed += 1;
             let key = RequestKey { client: CLIENT, ticket };
-            scheduler.ended(key, Some(RunResult::Abandoned), now);
+            scheduler.handle_ended(key, Some(RunResult::Abandoned), now);
         }
         let slowdown = slowdown(&models, setup.full_speed_fetches);
         step_engines(&mut models, &mut scheduler, &mut pending, &mut result, now, slowdown);
@@ -267,7 +267,7 @@
         model.unanswered = rest;
         let due: Vec<(Instant, Order)> = due;
         for (_, order) in due {
-            scheduler.ordered(&order, Outcome::Unanswered, now);
+            scheduler.handle_order_outcome(&order, Outcome::Unanswered, now);
         }
     }
 }
@@ -303,7 +303,7 @@
                 let key = *key;
                 model.prompts.remove(0);
                 model.running.push((key, now + Duration::from_millis(400)));
-                scheduler.started(key, now);
+                scheduler.handle_started(key, now);
                 let Some(arrival) = pending.remove(&key.ticket) else { continue };
                 let objective = Duration::from_millis(arrival.placement.objective_left_ms);
                 match now.since(START + arrival.at.since(Instant::ZERO)) <= objective {
@@ -323,7 +323,7 @@
         model.running = running;
         let ended: Vec<(RequestKey, Instant)> = ended;
         for (key, _) in ended {
-            scheduler.ended(key, Some(RunResult::Answered), now);
+            scheduler.handle_ended(key, Some(RunResult::Answered), now);
         }
     }
 }
@@ -343,21 +343,21 @@
         }
         for output in outputs {
             match output {
-                Output::Order(_, order) => {
+                Output::IssueOrder(_, order) => {
                     let model = &mut models[engine_index(&order.upstream)];
                     if model.unresponsive_since.is_some() {
                         model.unanswered.push((now + ORDER_TIMEOUT, order));
                         continue;
                     }
                     let outcome = apply_order(model, &order, result);
-                    scheduler.ordered(&order, outcome, now);
+                    scheduler.handle_order_outcome(&order, outcome, now);
                 }
-                Output::Tell(client, ToInstance::Grant(grant)) => {
+                Output::Send(client, ToInstance::Grant(grant)) => {
                     let key = RequestKey { client, ticket: grant.ticket };
                     let tokens = f64::from(pending[&grant.ticket].placement.prompt_tokens);
                     models[engine_index(&grant.upstream)].prompts.push((key, tokens));
                 }
-                Output::Tell(_, ToInstance::Refuse { ticket, .. }) => {
+                Output::Send(_, ToInstance::Refuse { ticket, .. }) => {
                     let Some(arrival) = pending.remove(&ticket) else { continue };
                     let waited = elapsed.since(arrival.at);
                     result.longest_refusal = result.longest_refusal.max(waited);
@@ -381,13 +381,13 @@
         Action::LoadAdapter { adapter, .. } if model.loading.contains_key(adapter) => {
             Outcome::Accepted
         }
-        _ if order.expected_orders != Some(model.orders) => Outcome::Conflict,
+        _ if order.expected_accepted_orders != Some(model.accepted_orders) => Outcome::Conflict,
         Action::LoadAdapter { adapter, .. } if model.held.contains(adapter) => Outcome::Holds,
         Action::LoadAdapter { adapter, .. } => {
             let taken = model.held.len() + model.loading.len();
             assert!(taken < ADAPTER_SLOTS, "an engine was ordered to load more than fits");
             assert!(model.loading.len() < 4, "an engine was ordered more loads than it takes");
-            model.orders += 1;
+            model.accepted_orders += 1;
             let is_fetch = !model.cached.contains(adapter);
             result.fetches += usize::from(is_fetch);
             let time = if is_fetch { FETCH_TIME } else { RELOAD_TIME };
@@ -396,7 +396,7 @@
         }
         Action::UnloadAdapter { adapter } => {
             model.held.remove(adapter);
-            model.orders += 1;
+            model.accepted_orders += 1;
             Outcome::Holds
         }
         Action::LoadModel => Outcome::Holds,
