--- a/crates/orioleroute-node/src/engines.rs
+++ b/crates/orioleroute-node/src/engines.rs
@@ -48,7 +48,7 @@
         warn!(shell.log, "order not done"; "upstream" => address.to_string(),
             "served" => &**order.name(), "outcome" => format!("{outcome:?}"));
     }
-    shell.feed(Event::Ordered { ticket, upstream, outcome });
+    shell.feed(Event::OrderEnded { ticket, upstream, outcome });
 }
 
 /// Asks for a report.
--- a/crates/orioleroute-node/src/gateway/exchange.rs
+++ b/crates/orioleroute-node/src/gateway/exchange.rs
@@ -131,7 +131,7 @@
         let kept = idle.get_mut(id)?;
         while let Some(mut candidate) = kept.pop() {
             let is_fresh = now.since(candidate.idle_since) < candidate.max_idle.min(max_idle);
-            if is_fresh && candidate.socket.is_quiet() {
+            if is_fresh && candidate.socket.is_idle() {
                 return Some(candidate.socket);
             }
         }
--- a/crates/orioleroute-node/src/gateway/forward.rs
+++ b/crates/orioleroute-node/src/gateway/forward.rs
@@ -89,7 +89,7 @@
     let elapsed = attempt.time_left.map(|left| gateway.elapsed_at_client(&route.name, left));
     let elapsed = elapsed.unwrap_or_default();
     let has_engine = placement::has_engine(&configuration, &service);
-    gateway.earn_retry(&service);
+    gateway.deposit_retry(&service);
     let mut relay = Relay {
         gateway,
         deadline: inbound.arrived + timeout,
@@ -217,15 +217,15 @@
 
     fn classify(&self, permit: Permit, incoming: Incoming) -> TryOutcome {
         let id = self.attempt.id.as_deref();
-        let verdict = ingress::classify_response(incoming.head.status, &incoming.head.headers, id);
-        match verdict {
+        let class = ingress::classify_response(incoming.head.status, &incoming.head.headers, id);
+        match class {
             ResponseClass::Valid => TryOutcome::Answered(permit, Box::new(incoming)),
             ResponseClass::Mismatched => {
                 TryOutcome::Lost(permit, "an answer to another request".into())
             }
             ResponseClass::NotRun | ResponseClass::Misdirected => {
                 self.possible_runs.set(self.possible_runs.get() - 1);
-                let result = match verdict {
+                let result = match class {
                     ResponseClass::Misdirected => RunResult::Misdirected,
                     _ => RunResult::Declined,
                 };
@@ -431,7 +431,7 @@
         self.declines += 1;
         let is_unreachable = result == RunResult::Unreachable;
         let may_try_again = self.declines < MAX_DECLINES
-            && (is_unreachable || self.gateway.spend_retry(&self.service));
+            && (is_unreachable || self.gateway.withdraw_retry(&self.service));
         if may_try_again {
             return None;
         }
@@ -465,12 +465,12 @@
     }
 
     /// Returns whether the request may be sent to another upstream although one may have run it. If so,
-    /// takes a retry from the budget.
+    /// withdraws a retry from the budget.
     fn may_retry(&self) -> bool {
         self.route.is_repeatable()
             && self.possible_runs.get() < self.route.attempts
             && self.deadline > self.gateway.now()
-            && self.gateway.spend_retry(&self.service)
+            && self.gateway.withdraw_retry(&self.service)
     }
 
     fn observe_retry(&self) {
--- a/crates/orioleroute-node/src/gateway/state.rs
+++ b/crates/orioleroute-node/src/gateway/state.rs
@@ -189,15 +189,15 @@
         versions.iter().map(announcement).collect()
     }
 
-    /// Credits a request to the retry budget of its service.
-    pub fn earn_retry(&self, service: &Arc<str>) {
-        self.retry_budget(service).earn();
+    /// Deposits the token of a request in the retry budget of its service.
+    pub fn deposit_retry(&self, service: &Arc<str>) {
+        self.retry_budget(service).deposit();
     }
 
-    /// Takes one retry from the budget of a service, and returns whether one was available.
-    pub fn spend_retry(&self, service: &Arc<str>) -> bool {
+    /// Withdraws one retry from the budget of a service, and returns whether one was available.
+    pub fn withdraw_retry(&self, service: &Arc<str>) -> bool {
         let now = self.now();
-        self.retry_budget(service).spend(now)
+        self.retry_budget(service).withdraw(now)
     }
 
     /// Returns how long a client of a route has been waiting since its first attempt, estimated from
--- a/crates/orioleroute-node/src/meter.rs
+++ b/crates/orioleroute-node/src/meter.rs
@@ -42,7 +42,7 @@
                 self.arrivals.borrow_mut().insert(*request, Clock::now());
             }
             Event::Progress { request, progress } => self.take_progress(*request, *progress),
-            Event::Ordered { outcome, .. } => {
+            Event::OrderEnded { outcome, .. } => {
                 counter!("orioleroute_orders_total", "outcome" => order_outcome(*outcome))
                     .increment(1);
             }
@@ -69,7 +69,7 @@
             Effect::Order { order: Order::Unload { .. }, .. } => {
                 counter!("orioleroute_unloads_total").increment(1);
             }
-            Effect::Decide(decision) => {
+            Effect::LogDecision(decision) => {
                 counter!("orioleroute_decisions_total", "reason" => decision.reason.to_string())
                     .increment(1);
             }
@@ -96,7 +96,7 @@
 
     fn take_progress(&self, request: key::Request, progress: Progress) {
         match progress {
-            Progress::Begun => {
+            Progress::ResponseStarted => {
                 if let Some(arrived) = self.arrivals.borrow().get(&request) {
                     let time = arrived.elapsed().as_secs_f64();
                     histogram!("orioleroute_time_to_first_token_seconds").record(time);
@@ -107,7 +107,7 @@
                     .increment(1);
             }
             Progress::Finished => self.end(request, "finished"),
-            Progress::Gone => self.end(request, "gone"),
+            Progress::CallerDisconnected => self.end(request, "gone"),
         }
     }
 
--- a/crates/orioleroute-node/src/platform.rs
+++ b/crates/orioleroute-node/src/platform.rs
@@ -117,7 +117,7 @@
     let address = shell.settings.objects_address;
     let answer = shell.pool.call_within(address, call, TIMEOUT).await;
     let stored = answer.is_ok_and(|answer| answer.status.is_success());
-    shell.feed(Event::Put { ticket, stored });
+    shell.feed(Event::ObjectWritten { ticket, stored });
 }
 
 /// Reads an object.
@@ -130,7 +130,7 @@
         .filter(|answer| answer.status.is_success())
         .and_then(|answer| String::from_utf8(answer.body.to_vec()).ok())
         .map(Arc::from);
-    shell.feed(Event::Got { ticket, value });
+    shell.feed(Event::ObjectRead { ticket, value });
 }
 
 /// Reads the instance list again and again.
@@ -140,7 +140,7 @@
         let call = Call::new(Method::GET, "/instances");
         let answer = shell.pool.call_within(address, call, TIMEOUT).await;
         if let Ok(list) = answer.and_then(|answer| answer.json::<Vec<Listing>>(address)) {
-            shell.feed(Event::Listed(list));
+            shell.feed(Event::UpstreamsListed(list));
         }
         monoio::time::sleep(LIST_POLL).await;
     }
--- a/crates/orioleroute-node/src/relay.rs
+++ b/crates/orioleroute-node/src/relay.rs
@@ -71,7 +71,7 @@
 /// Fails if the caller is gone or the answer broke off, so that the connection is closed.
 pub async fn run(shell: &Rc<Shell>, connection: &mut Connection, job: Job) -> Result<(), Error> {
     let (key, mut steps) = shell.admit();
-    let mut guard = Guard { shell: shell.clone(), key, last: Progress::Gone };
+    let mut guard = Guard { shell: shell.clone(), key, last: Progress::CallerDisconnected };
     let Job { request, spec, stream } = job;
     if let Some(name) = request.header("x-request-id") {
         shell.name_request(key, name);
@@ -138,14 +138,14 @@
 impl Guard {
     /// Leaves it at what the core already knows.
     fn disarm(&mut self) {
-        self.last = Progress::Begun;
+        self.last = Progress::ResponseStarted;
     }
 }
 
 impl Drop for Guard {
     fn drop(&mut self) {
         self.shell.forget(self.key);
-        if self.last != Progress::Begun {
+        if self.last != Progress::ResponseStarted {
             self.shell.feed(Event::Progress { request: self.key, progress: self.last });
         }
     }
@@ -332,7 +332,9 @@
         connection.chunk(&whole).await?;
         if !begun {
             begun = true;
-            guard.shell.feed(Event::Progress { request: guard.key, progress: Progress::Begun });
+            guard
+                .shell
+                .feed(Event::Progress { request: guard.key, progress: Progress::ResponseStarted });
         }
     }
 }
--- a/crates/orioleroute-node/src/shell.rs
+++ b/crates/orioleroute-node/src/shell.rs
@@ -161,10 +161,10 @@
             Effect::Table { ticket, operation } => {
                 monoio::spawn(platform::table(self.clone(), ticket, operation));
             }
-            Effect::Put { ticket, key, value } => {
+            Effect::WriteObject { ticket, key, value } => {
                 monoio::spawn(platform::put(self.clone(), ticket, key, value));
             }
-            Effect::Get { ticket, key } => {
+            Effect::ReadObject { ticket, key } => {
                 monoio::spawn(platform::get(self.clone(), ticket, key));
             }
             Effect::Order { ticket, upstream, address, order, fencing } => {
@@ -184,7 +184,7 @@
                     let _ = sender.send(answer);
                 }
             }
-            Effect::Decide(decision) => self.log_decision(&decision),
+            Effect::LogDecision(decision) => self.log_decision(&decision),
         }
     }
 
--- a/crates/orioleroute-wire/src/http1/socket.rs
+++ b/crates/orioleroute-wire/src/http1/socket.rs
@@ -98,7 +98,7 @@
     }
 
     /// Returns whether the peer has neither closed the connection nor sent anything unasked.
-    pub fn is_quiet(&mut self) -> bool {
+    pub fn is_idle(&mut self) -> bool {
         let mut context = Context::from_waker(Waker::noop());
         self.input.is_empty() && self.poll_fill(&mut context).is_pending()
     }
--- a/crates/orioleroute/benches/decisions.rs
+++ b/crates/orioleroute/benches/decisions.rs
@@ -83,7 +83,7 @@
 
 fn fleet(listings: &[Listing]) -> Fleet {
     let mut fleet = Fleet::default();
-    fleet.list(listings);
+    fleet.apply_listing(listings);
     fleet
 }
 
@@ -98,11 +98,11 @@
     let mut adapters = (0..size.adapters).cycle();
     for key in &owned {
         let upstream = fleet.get_mut(*key).expect("the upstream is listed");
-        upstream.reported = Some(Instant::from_micros(u64::MAX / 2));
+        upstream.reported_at = Some(Instant::from_micros(u64::MAX / 2));
         for _ in 0..SLOTS {
             let name = &names[adapters.next().expect("the iterator is endless")];
             let revision = catalog.resolve(name).expect("the adapter is in the catalog");
-            demand.note(Instant::ZERO, revision);
+            demand.observe(Instant::ZERO, revision);
             let resident = Resident::new(Residency::Loaded, 0, Instant::ZERO);
             upstream.residents.insert(revision, resident);
         }
--- a/crates/orioleroute/examples/embed.rs
+++ b/crates/orioleroute/examples/embed.rs
@@ -110,19 +110,19 @@
                 let outcome = self.table.execute(operation);
                 self.events.push_back((core, Event::Table { ticket, outcome }));
             }
-            Effect::Put { ticket, key, value } => {
+            Effect::WriteObject { ticket, key, value } => {
                 self.objects.insert(key, value);
-                self.events.push_back((core, Event::Put { ticket, stored: true }));
+                self.events.push_back((core, Event::ObjectWritten { ticket, stored: true }));
             }
-            Effect::Get { ticket, key } => {
+            Effect::ReadObject { ticket, key } => {
                 let value = self.objects.get(&key).cloned();
-                self.events.push_back((core, Event::Got { ticket, value }));
+                self.events.push_back((core, Event::ObjectRead { ticket, value }));
             }
             Effect::Answer { answer: Answer::Accepted { version }, .. } => {
                 println!("{:>8} us: version {version} is accepted", self.now.as_micros());
             }
             Effect::Answer { answer, .. } => println!("answer: {answer:?}"),
-            Effect::Decide(decision) => println!("decision: {decision:?}"),
+            Effect::LogDecision(decision) => println!("decision: {decision:?}"),
             // This program has neither engines nor callers.
             Effect::Order { .. } | Effect::Probe { .. } | Effect::Request { .. } => {}
         }
--- a/crates/orioleroute/src/catalog.rs
+++ b/crates/orioleroute/src/catalog.rs
@@ -77,7 +77,7 @@
     ///
     /// The cost is proportional to the number of changed adapters, except for one pass over all
     /// revisions.
-    pub fn change(&mut self, delta: &Delta) {
+    pub fn apply_delta(&mut self, delta: &Delta) {
         if let Some(policy) = &delta.policy {
             self.policy = policy.clone();
         }
--- a/crates/orioleroute/src/config.rs
+++ b/crates/orioleroute/src/config.rs
@@ -23,10 +23,10 @@
 use submission::Submission;
 
 /// The key of the row that holds the accepted version.
-pub const HEAD: &str = "config/head";
+pub const HEAD_KEY: &str = "config/head";
 
 /// The key of the row that holds the submission in progress.
-pub const STAGED: &str = "config/staged";
+pub const STAGED_KEY: &str = "config/staged";
 
 /// The interval between reads of the rows.
 const POLL_INTERVAL: Duration = Duration::from_millis(1_000);
@@ -66,13 +66,13 @@
     delta: Arc<Delta>,
 }
 
-/// How the active document has changed since the last call of [`Config::take_news`].
+/// How the active document has changed since the last call of [`Config::take_update`].
 #[derive(Clone, Debug)]
-pub enum News {
+pub enum Update {
     /// The document was changed by these deltas, in order.
     Changes(Vec<Arc<Delta>>),
     /// The document was replaced, and its difference from the previous one is not known.
-    Whole,
+    Replaced,
 }
 
 /// The configuration of one instance.
@@ -94,7 +94,7 @@
     stale_views: bool,
     /// The latest changes that led to the active document, oldest first.
     recent: VecDeque<Proposal>,
-    news: Option<News>,
+    update: Option<Update>,
 }
 
 impl Config {
@@ -117,15 +117,15 @@
     ///
     /// That is so if a staged document that changes the adapter may have been accepted without this
     /// instance learning of it, or if a version was accepted that this instance does not have yet.
-    pub fn is_in_doubt(&self, now: Instant, adapter: &str) -> bool {
+    pub fn is_uncertain(&self, now: Instant, adapter: &str) -> bool {
         self.accepted > self.version()
             || now >= self.head_read_at + UNCERTAIN_AFTER
                 && self.staged.iter().any(|staged| staged.delta.affects(adapter))
     }
 
     /// Returns how the active document has changed since the last call.
-    pub fn take_news(&mut self) -> Option<News> {
-        self.news.take()
+    pub fn take_update(&mut self) -> Option<Update> {
+        self.update.take()
     }
 
     /// Returns and clears whether the views must be reread before a submission can continue.
@@ -138,9 +138,9 @@
         self.pending_read.take_if(|(_, sent)| now >= *sent + TABLE_TIMEOUT);
         if self.pending_read.is_none() && now >= self.next_poll {
             self.next_poll = now + POLL_INTERVAL;
-            let mut keys = vec![HEAD.into()];
+            let mut keys = vec![HEAD_KEY.into()];
             if self.submission.is_some() || self.staged_row_version == 0 {
-                keys.push(STAGED.into());
+                keys.push(STAGED_KEY.into());
             }
             self.pending_read = Some((effects.table(Operation::Read(keys)), now));
         }
@@ -148,7 +148,7 @@
     }
 
     /// Handles the outcome of a table operation, and returns whether a new document became active.
-    pub fn take_outcome(
+    pub fn handle_outcome(
         &mut self,
         now: Instant,
         ticket: Ticket,
@@ -167,7 +167,7 @@
     }
 
     /// Handles a message about configuration, and returns whether a new document became active.
-    pub fn take_message(
+    pub fn handle_message(
         &mut self,
         from: &Arc<str>,
         message: &Message,
@@ -318,17 +318,17 @@
             return false;
         }
         self.staged.retain(|staged| staged.versioned.mark.version > versioned.mark.version);
-        self.note_news(&versioned);
+        self.record_update(&versioned);
         self.active = Some(versioned);
         true
     }
 
     /// Records how a document that becomes active differs from the active one.
-    fn note_news(&mut self, versioned: &VersionedDocument) {
+    fn record_update(&mut self, versioned: &VersionedDocument) {
         let change = versioned.change.as_ref().filter(|change| change.base == self.mark());
         let Some(change) = change else {
             self.recent.clear();
-            self.news = Some(News::Whole);
+            self.update = Some(Update::Replaced);
             return;
         };
         if self.recent.len() >= MAX_RECENT_CHANGES {
@@ -337,9 +337,9 @@
         let Change { base, delta } = change.clone();
         let body = Body::Change(delta.clone());
         self.recent.push_back(Proposal { mark: versioned.mark, base, body });
-        match self.news.get_or_insert(News::Changes(Vec::new())) {
-            News::Changes(changes) => changes.push(delta),
-            News::Whole => {}
+        match self.update.get_or_insert(Update::Changes(Vec::new())) {
+            Update::Changes(changes) => changes.push(delta),
+            Update::Replaced => {}
         }
     }
 
@@ -359,10 +359,10 @@
     }
 
     fn handle_rows(&mut self, now: Instant, rows: &[Row], effects: &mut Effects) -> bool {
-        if let Some(row) = rows.iter().find(|row| &*row.key == STAGED) {
+        if let Some(row) = rows.iter().find(|row| &*row.key == STAGED_KEY) {
             self.staged_row_version = self.staged_row_version.max(row.version);
         }
-        let head = rows.iter().find(|row| &*row.key == HEAD);
+        let head = rows.iter().find(|row| &*row.key == HEAD_KEY);
         self.head_row_version = self.head_row_version.max(head.map_or(0, |row| row.version));
         let mark: Option<Mark> = head.and_then(|row| serde_json::from_str(&row.value).ok());
         self.accepted = self.accepted.max(mark.map_or(0, |mark| mark.version));
--- a/crates/orioleroute/src/config/fetch.rs
+++ b/crates/orioleroute/src/config/fetch.rs
@@ -37,7 +37,12 @@
     }
 
     /// Handles an object that was read, and returns whether a new document became active.
-    pub fn take_got(&mut self, ticket: Ticket, value: Option<&str>, effects: &mut Effects) -> bool {
+    pub fn handle_get(
+        &mut self,
+        ticket: Ticket,
+        value: Option<&str>,
+        effects: &mut Effects,
+    ) -> bool {
         let Some(mut fetch) = self.fetch.take_if(|fetch| fetch.ticket == ticket) else {
             return false;
         };
@@ -84,6 +89,6 @@
 
 fn get_object(mark: Mark, effects: &mut Effects) -> Ticket {
     let ticket = effects.ticket();
-    effects.push(Effect::Get { ticket, key: object_key(mark) });
+    effects.push(Effect::ReadObject { ticket, key: object_key(mark) });
     ticket
 }
--- a/crates/orioleroute/src/config/submission.rs
+++ b/crates/orioleroute/src/config/submission.rs
@@ -1,7 +1,7 @@
 //! The processing of an operator's submission until it is accepted.
 
 use super::fetch::object_key;
-use super::{Change, Config, HEAD, STAGED, VersionedDocument, answer, send};
+use super::{Change, Config, HEAD_KEY, STAGED_KEY, VersionedDocument, answer, send};
 use crate::document::{Delta, Document};
 use crate::effect::Effects;
 use crate::hash::digest;
@@ -92,7 +92,11 @@
         let object = Self::to_proposal(&versioned, mark.version % SNAPSHOT_INTERVAL == 1);
         let value = serde_json::to_string(&object).unwrap_or_default();
         let storing = effects.ticket();
-        effects.push(Effect::Put { ticket: storing, key: object_key(mark), value: value.into() });
+        effects.push(Effect::WriteObject {
+            ticket: storing,
+            key: object_key(mark),
+            value: value.into(),
+        });
         self.stale_views = true;
         self.submission = Some(Submission {
             ticket,
@@ -123,7 +127,7 @@
     }
 
     /// Handles the outcome of writing the object.
-    pub fn take_put(&mut self, ticket: Ticket, stored: bool, effects: &mut Effects) {
+    pub fn handle_put(&mut self, ticket: Ticket, stored: bool, effects: &mut Effects) {
         let Some(submission) = &mut self.submission else { return };
         if submission.stage != Stage::Storing(ticket) {
             return;
@@ -141,7 +145,7 @@
         let Some(submission) = &mut self.submission else { return };
         let mark = submission.versioned.mark;
         let expect = Expect::unchanged(self.staged_row_version);
-        let write = Write::put(STAGED, expect, &mark);
+        let write = Write::put(STAGED_KEY, expect, &mark);
         submission.next_staged_version = expect.next_version();
         submission.stage = Stage::Staging(effects.table(Operation::Write(vec![write])));
     }
@@ -285,7 +289,8 @@
         let staged = Expect::unchanged(self.staged_row_version);
         submission.next_head_version = head.next_version();
         submission.next_staged_version = staged.next_version();
-        let mut writes = vec![Write::put(HEAD, head, &mark), Write::put(STAGED, staged, &mark)];
+        let mut writes =
+            vec![Write::put(HEAD_KEY, head, &mark), Write::put(STAGED_KEY, staged, &mark)];
         // A view that has changed may include a member that has not been asked to confirm.
         writes.extend(membership.checks());
         submission.stage = Stage::Accepting(effects.table(Operation::Write(writes)));
--- a/crates/orioleroute/src/core.rs
+++ b/crates/orioleroute/src/core.rs
@@ -2,7 +2,7 @@
 
 use crate::catalog::Catalog;
 use crate::claim::Claims;
-use crate::config::{Config, News};
+use crate::config::{Config, Update};
 use crate::demand::Demand;
 use crate::effect::Effects;
 use crate::fleet::Fleet;
@@ -69,7 +69,7 @@
     demand: Demand,
     load_time: LoadTime,
     holders: Holders,
-    indexed_changes: u64,
+    indexed_generation: u64,
     has_listing: bool,
     effects: Effects,
 }
@@ -90,7 +90,7 @@
             demand: Demand::default(),
             load_time: LoadTime::default(),
             holders: Holders::default(),
-            indexed_changes: 0,
+            indexed_generation: 0,
             has_listing: false,
             effects: Effects::default(),
         }
@@ -106,24 +106,24 @@
         match event {
             Event::Tick => self.tick(now),
             Event::Table { ticket, outcome } => self.handle_table(now, ticket, &outcome),
-            Event::Put { ticket, stored } => {
-                self.config.take_put(ticket, stored, &mut self.effects)
+            Event::ObjectWritten { ticket, stored } => {
+                self.config.handle_put(ticket, stored, &mut self.effects)
             }
-            Event::Got { ticket, value } => {
-                if self.config.take_got(ticket, value.as_deref(), &mut self.effects) {
+            Event::ObjectRead { ticket, value } => {
+                if self.config.handle_get(ticket, value.as_deref(), &mut self.effects) {
                     self.apply_document(now);
                 }
             }
             Event::Message { from, message } => self.handle_message(now, &from, &message),
-            Event::Listed(listings) => {
+            Event::UpstreamsListed(listings) => {
                 self.has_listing = true;
-                self.fleet.list(&listings);
+                self.fleet.apply_listing(&listings);
                 self.rebuild_ownership(now);
             }
             Event::Report { upstream, report } => {
                 self.handle_report(now, upstream, report.as_ref())
             }
-            Event::Ordered { ticket, upstream, outcome } => {
+            Event::OrderEnded { ticket, upstream, outcome } => {
                 self.handle_order_outcome(now, ticket, upstream, outcome);
             }
             Event::Arrived { request, spec } => self.handle_arrival(now, request, spec),
@@ -131,7 +131,7 @@
             Event::Command { ticket, command } => self.handle_command(now, ticket, command),
             Event::Shutdown => self.membership.leave(now),
         }
-        if self.membership.changes() != self.indexed_changes {
+        if self.membership.generation() != self.indexed_generation {
             self.rebuild_ownership(now);
         }
         self.flush_claims(now);
@@ -182,8 +182,8 @@
             self.membership.refresh();
         }
         self.config.tick(now, &self.membership, &mut self.effects);
-        if self.ownership.mature(now, &self.membership) {
-            self.mark_safe();
+        if self.ownership.advance(now, &self.membership) {
+            self.update_exclusive();
             self.serve_waiting(now);
         }
         self.probe(now);
@@ -198,11 +198,11 @@
         if self.handle_claim_outcome(now, ticket, outcome) {
             return;
         }
-        if self.membership.take_outcome(now, ticket, outcome, &mut self.effects) {
+        if self.membership.handle_outcome(now, ticket, outcome, &mut self.effects) {
             return;
         }
         let membership = &self.membership;
-        if self.config.take_outcome(now, ticket, outcome, membership, &mut self.effects) {
+        if self.config.handle_outcome(now, ticket, outcome, membership, &mut self.effects) {
             self.apply_document(now);
         }
     }
@@ -211,27 +211,27 @@
         if let Message::Holds { name, held } = message {
             return self.handle_holds(from, name, *held);
         }
-        self.membership.take_message(now, from, message, &mut self.effects);
-        if self.config.take_message(from, message, &self.membership, &mut self.effects) {
+        self.membership.handle_message(now, from, message, &mut self.effects);
+        if self.config.handle_message(from, message, &self.membership, &mut self.effects) {
             self.apply_document(now);
         }
     }
 
     /// Rebuilds the ownership index from the current views, upstreams and pools.
     fn rebuild_ownership(&mut self, now: Instant) {
-        self.indexed_changes = self.membership.changes();
+        self.indexed_generation = self.membership.generation();
         self.ownership.rebuild(now, &self.membership, &self.fleet, &self.catalog);
-        self.mark_safe();
+        self.update_exclusive();
         self.reroute_waiting(now);
     }
 
     /// Applies the document that has just become active.
     fn apply_document(&mut self, now: Instant) {
-        match self.config.take_news() {
-            Some(News::Changes(changes)) => {
-                changes.iter().for_each(|delta| self.catalog.change(delta));
+        match self.config.take_update() {
+            Some(Update::Changes(changes)) => {
+                changes.iter().for_each(|delta| self.catalog.apply_delta(delta));
             }
-            Some(News::Whole) | None => {
+            Some(Update::Replaced) | None => {
                 let Some(document) = self.config.document() else { return };
                 self.catalog.apply(document);
             }
--- a/crates/orioleroute/src/core/engines.rs
+++ b/crates/orioleroute/src/core/engines.rs
@@ -15,7 +15,7 @@
 impl Core {
     /// Requests the reports of owned engines that are due.
     pub(super) fn probe(&mut self, now: Instant) {
-        for key in self.ownership.mine() {
+        for key in self.ownership.owned_upstreams() {
             let Some(upstream) = self.fleet.get_mut(key) else { continue };
             let engine = self.catalog.pool(&upstream.listing.pool).is_some();
             if engine && !upstream.probing && now >= upstream.next_probe {
@@ -58,19 +58,19 @@
         }
     }
 
-    /// Records that an engine carried out an order. If it checks fencing tokens, it now rejects the
+    /// Records that an engine carried out an order. If it checks fencing tokens, it now refuses the
     /// orders of previous owners.
-    fn fence(&mut self, key: key::Upstream) {
-        if self.is_fenced(key) {
-            self.ownership.fence(key);
-            self.mark_safe();
+    fn record_fence(&mut self, key: key::Upstream) {
+        if self.checks_fencing(key) {
+            self.ownership.mark_fenced(key);
+            self.update_exclusive();
         }
     }
 
     /// Updates for each upstream whether this instance may use the revisions loaded on it.
-    pub(super) fn mark_safe(&mut self) {
+    pub(super) fn update_exclusive(&mut self) {
         for (key, upstream) in self.fleet.iter_mut() {
-            upstream.safe = self.ownership.is_safe(key);
+            upstream.is_exclusive = self.ownership.is_exclusive(key);
         }
     }
 
@@ -89,7 +89,7 @@
             _ => self.orders.record_failure(now, key, revision),
         }
         match outcome {
-            engine::Outcome::Done => self.fence(key),
+            engine::Outcome::Done => self.record_fence(key),
             engine::Outcome::Fenced => self.membership.refresh(),
             _ => {}
         }
@@ -115,7 +115,7 @@
         let resident = self.fleet.get(key).and_then(|upstream| upstream.residents.get(&revision));
         if let Some(resident) = resident.filter(|_| load) {
             // For a resident that was just loaded, this is the time at which the load was ordered.
-            self.load_time.note(now.since(resident.used));
+            self.load_time.observe(now.since(resident.last_used));
         }
         self.announce(revision);
     }
@@ -128,10 +128,10 @@
         }
         let mut dropped = Vec::new();
         // Only the owner issues orders, and an instance owns few of thousands of upstreams.
-        for key in self.ownership.mine() {
+        for key in self.ownership.owned_upstreams() {
             let Some(upstream) = self.fleet.get(key) else { continue };
             for (revision, resident) in &upstream.residents {
-                let idle = resident.running == 0 && resident.reported == 0;
+                let idle = resident.running == 0 && resident.reported_running == 0;
                 let loaded = resident.residency == Residency::Loaded;
                 if !self.catalog.revision(*revision).current && loaded && idle {
                     dropped.push((key, *revision));
@@ -181,7 +181,7 @@
         let Some(upstream) = self.fleet.get(key) else { return ticket };
         let load = matches!(order, engine::Order::Load { .. });
         self.orders.add(ticket, Order { revision, load });
-        self.effects.push(Effect::Decide(Decision {
+        self.effects.push(Effect::LogDecision(Decision {
             request: None,
             name: order.name().clone(),
             chosen: Some(upstream.listing.name.clone()),
@@ -203,22 +203,22 @@
     /// Requests of previous owners are visible only in a report that was sampled after those owners
     /// stopped sending and their last requests arrived at the engine.
     pub(super) fn may_unload(&self, now: Instant, key: key::Upstream) -> bool {
-        let (Some(upstream), Some(exclusive_since)) =
-            (self.fleet.get(key), self.ownership.alone_since(key))
+        let (Some(upstream), Some(sole_sender_since)) =
+            (self.fleet.get(key), self.ownership.sole_sender_since(key))
         else {
             return false;
         };
-        self.may_order(now, key) && upstream.sampled >= exclusive_since + MAX_REQUEST_DELAY
+        self.may_order(now, key) && upstream.sampled >= sole_sender_since + MAX_REQUEST_DELAY
     }
 
     /// Returns whether this instance may issue orders to an engine at `now`.
     pub(super) fn may_order(&self, now: Instant, key: key::Upstream) -> bool {
-        let fenced = self.is_fenced(key);
-        self.membership.holds_lease(now) && self.ownership.is_settled(key, fenced)
+        let checks_fencing = self.checks_fencing(key);
+        self.membership.holds_lease(now) && self.ownership.may_order(key, checks_fencing)
     }
 
     /// Returns whether an engine checks fencing tokens.
-    fn is_fenced(&self, key: key::Upstream) -> bool {
+    fn checks_fencing(&self, key: key::Upstream) -> bool {
         let pool = self.fleet.get(key).and_then(|engine| self.catalog.pool(&engine.listing.pool));
         pool.is_some_and(|pool| pool.fencing == Fencing::Checked)
     }
--- a/crates/orioleroute/src/core/operators.rs
+++ b/crates/orioleroute/src/core/operators.rs
@@ -22,7 +22,7 @@
             .collect();
         let upstreams = self
             .ownership
-            .mine()
+            .owned_upstreams()
             .filter_map(|key| Some((key, self.fleet.get(key)?)))
             .filter(|(_, upstream)| self.catalog.pool(&upstream.listing.pool).is_some())
             .map(|(key, upstream)| UpstreamStatus {
--- a/crates/orioleroute/src/core/placement.rs
+++ b/crates/orioleroute/src/core/placement.rs
@@ -109,7 +109,7 @@
         let timeout = (self.load_time.mean() * SLOW_LOAD_FACTOR).max(MIN_SLOW_LOAD);
         match resident.residency {
             Residency::Loaded => false,
-            Residency::Loading => now < resident.used + timeout,
+            Residency::Loading => now < resident.last_used + timeout,
             Residency::Unloading => true,
         }
     }
@@ -127,7 +127,7 @@
 
     /// Returns the owned upstreams that may run a revision.
     pub(super) fn candidates(&self, revision: key::Revision) -> &[key::Upstream] {
-        self.ownership.owned(&self.catalog.revision(revision).model)
+        self.ownership.owned_for_model(&self.catalog.revision(revision).model)
     }
 
     pub(super) fn candidate(&self, key: key::Upstream) -> Option<Candidate> {
--- a/crates/orioleroute/src/core/remote_holders.rs
+++ b/crates/orioleroute/src/core/remote_holders.rs
@@ -47,7 +47,7 @@
         if request.spec.hops >= MAX_HOPS - 1 || request.claim.is_some() {
             return false;
         }
-        if !routing::leaves_region(self.load_wait(revision), self.catalog.policy()) {
+        if !routing::prefers_remote_region(self.load_wait(revision), self.catalog.policy()) {
             return false;
         }
         let holder = self.holders.of(revision).find_map(|name| self.remote_member(revision, name));
--- a/crates/orioleroute/src/core/requests.rs
+++ b/crates/orioleroute/src/core/requests.rs
@@ -55,7 +55,7 @@
             spec,
         };
         let needs_claim = !request.spec.repeatable;
-        self.retries.earn();
+        self.retries.deposit();
         self.requests.fill(key, request);
         if !exists {
             return match self.config.version() {
@@ -73,13 +73,13 @@
     /// Handles progress of the current step of a request.
     pub(super) fn handle_progress(&mut self, now: Instant, key: key::Request, progress: Progress) {
         match progress {
-            Progress::Begun => {
+            Progress::ResponseStarted => {
                 if let Some(request) = self.requests.get_mut(key) {
                     request.response_started = true;
                 }
             }
             Progress::Finished => self.end(now, key, claim::State::Finished),
-            Progress::Gone => {
+            Progress::CallerDisconnected => {
                 self.mark_abandoned(now, key);
                 let is_sent = self.requests.get(key).is_none_or(Request::may_have_run);
                 let state = if is_sent { claim::State::Claimed } else { claim::State::Abandoned };
@@ -123,7 +123,7 @@
         if is_retryable
             && !request.response_started
             && is_within_limits
-            && (is_miss || self.retries.spend(now))
+            && (is_miss || self.retries.withdraw(now))
         {
             return self.route(now, key);
         }
@@ -192,7 +192,7 @@
             request.revision.and_then(|revision| upstream.residents.get_mut(&revision))
         {
             resident.running += 1;
-            resident.used = now;
+            resident.last_used = now;
         }
         let name = request.revision.map(|revision| self.catalog.revision(revision).name.clone());
         let step = Step::Dispatch(Dispatch {
@@ -227,7 +227,7 @@
             request.revision.and_then(|revision| upstream.residents.get_mut(&revision))
         {
             resident.running = resident.running.saturating_sub(1);
-            resident.used = now;
+            resident.last_used = now;
         }
     }
 
@@ -253,7 +253,7 @@
         let timeout = request.deadline.since(now);
         let queue_timeout = request.queue_deadline.since(now);
         let may_have_run = request.spec.may_have_run;
-        self.effects.push(Effect::Decide(Decision {
+        self.effects.push(Effect::LogDecision(Decision {
             request: Some(key),
             name,
             chosen: Some(instance.clone()),
@@ -303,7 +303,7 @@
             .map(|upstream| upstream.listing.name.clone());
         let name = self.name_of(key);
         let decision = Decision { request: Some(key), name, chosen, reason, runners_up };
-        self.effects.push(Effect::Decide(decision));
+        self.effects.push(Effect::LogDecision(decision));
     }
 
     fn name_of(&self, key: key::Request) -> Arc<str> {
--- a/crates/orioleroute/src/core/routes.rs
+++ b/crates/orioleroute/src/core/routes.rs
@@ -31,7 +31,7 @@
     }
 
     pub(super) fn route_model(&mut self, now: Instant, key: key::Request, revision: key::Revision) {
-        self.demand.note(now, revision);
+        self.demand.observe(now, revision);
         let candidates = self.candidates(revision);
         if candidates.is_empty() {
             return self.refuse(key, Kind::Unavailable, Some(RETRY_AFTER));
@@ -107,7 +107,7 @@
     pub(super) fn load_wait(&self, revision: key::Revision) -> Duration {
         let others =
             self.requests.awaited_revisions().into_iter().filter(|awaited| *awaited != revision);
-        self.load_time.wait(others.count(), self.load_budget())
+        self.load_time.expected_wait(others.count(), self.load_budget())
     }
 
     /// Returns whether an upstream may take one more request of this request's importance.
@@ -115,7 +115,7 @@
         let importance = self.requests.get(key).map(|request| request.importance);
         let running = self.fleet.get(upstream).map_or(0, |upstream| upstream.running);
         let concurrency = self.candidate(upstream).map_or(u32::MAX, |found| found.concurrency);
-        limits::has_room(importance.unwrap_or_default(), running, concurrency)
+        limits::has_capacity(importance.unwrap_or_default(), running, concurrency)
     }
 
     /// Returns whether an upstream runs as many requests as it can run at full speed.
@@ -144,7 +144,7 @@
             return;
         }
         for revision in self.requests.awaited_revisions() {
-            if self.config.is_in_doubt(now, &self.catalog.revision(revision).adapter) {
+            if self.config.is_uncertain(now, &self.catalog.revision(revision).adapter) {
                 continue;
             }
             for key in self.requests.waiting(revision).to_vec() {
@@ -210,7 +210,7 @@
     pub(super) fn is_uncertain(&self, now: Instant, key: key::Request) -> bool {
         let revision = self.requests.get(key).and_then(|request| request.revision);
         revision.is_some_and(|revision| {
-            self.config.is_in_doubt(now, &self.catalog.revision(revision).adapter)
+            self.config.is_uncertain(now, &self.catalog.revision(revision).adapter)
         })
     }
 }
--- a/crates/orioleroute/src/demand.rs
+++ b/crates/orioleroute/src/demand.rs
@@ -45,7 +45,7 @@
 /// let revision = arena.insert(());
 /// let mut demand = Demand::default();
 /// assert_eq!(demand.rate(Instant::ZERO, revision), 0.0);
-/// demand.note(Instant::ZERO, revision);
+/// demand.observe(Instant::ZERO, revision);
 /// assert!(demand.rate(Instant::ZERO, revision) > 0.0);
 /// ```
 #[derive(Clone, Debug)]
@@ -84,7 +84,7 @@
 
 impl Demand {
     /// Records a request for `revision`.
-    pub fn note(&mut self, now: Instant, revision: key::Revision) {
+    pub fn observe(&mut self, now: Instant, revision: key::Revision) {
         let count = match self.counts.get(revision).copied() {
             Some(count) => {
                 add_idle_time(&mut self.cells, now, &count);
--- a/crates/orioleroute/src/effect.rs
+++ b/crates/orioleroute/src/effect.rs
@@ -31,7 +31,7 @@
         operation: Operation,
     },
     /// Writes an object. The outcome is returned with the ticket.
-    Put {
+    WriteObject {
         /// The ticket.
         ticket: Ticket,
         /// The object's key.
@@ -40,7 +40,7 @@
         value: Arc<str>,
     },
     /// Reads an object. The outcome is returned with the ticket.
-    Get {
+    ReadObject {
         /// The ticket.
         ticket: Ticket,
         /// The object's key.
@@ -82,7 +82,7 @@
         answer: Answer,
     },
     /// Logs a routing or placement decision.
-    Decide(Decision),
+    LogDecision(Decision),
 }
 
 /// The effects of one event, in order.
--- a/crates/orioleroute/src/event.rs
+++ b/crates/orioleroute/src/event.rs
@@ -22,14 +22,14 @@
         outcome: Outcome,
     },
     /// The write of an object ended.
-    Put {
+    ObjectWritten {
         /// The ticket.
         ticket: Ticket,
         /// Whether the object is stored.
         stored: bool,
     },
     /// The read of an object ended.
-    Got {
+    ObjectRead {
         /// The ticket.
         ticket: Ticket,
         /// The object's text, or `None` if it was not read.
@@ -42,8 +42,8 @@
         /// The message.
         message: Message,
     },
-    /// The platform listed the upstream instances.
-    Listed(Vec<Listing>),
+    /// The platform listed the upstreams.
+    UpstreamsListed(Vec<Listing>),
     /// The request for an engine's report ended.
     Report {
         /// The engine.
@@ -52,7 +52,7 @@
         report: Option<engine::Report>,
     },
     /// An order ended.
-    Ordered {
+    OrderEnded {
         /// Its ticket.
         ticket: Ticket,
         /// The engine.
--- a/crates/orioleroute/src/fleet.rs
+++ b/crates/orioleroute/src/fleet.rs
@@ -39,20 +39,20 @@
     /// The number of requests that this instance is running on it.
     pub running: u32,
     /// The number of requests that were running on it according to the engine's last report.
-    pub reported: u32,
+    pub reported_running: u32,
     /// When a request of this instance last started or ended on it, initially when it was added.
-    pub used: Instant,
+    pub last_used: Instant,
     /// Reports sampled before this time may be too old to show a request that this instance
     /// abandoned.
     pub uncertain_until: Instant,
 }
 
 impl Resident {
-    /// Returns a resident with `reported` requests on the engine, none of which are this
+    /// Returns a resident with `reported_running` requests on the engine, none of which are this
     /// instance's.
-    pub fn new(residency: Residency, reported: u32, now: Instant) -> Self {
+    pub fn new(residency: Residency, reported_running: u32, now: Instant) -> Self {
         let uncertain_until = Instant::ZERO;
-        Self { residency, running: 0, reported, used: now, uncertain_until }
+        Self { residency, running: 0, reported_running, last_used: now, uncertain_until }
     }
 }
 
@@ -70,7 +70,7 @@
     /// The engine's incarnation, from its last report.
     pub incarnation: u64,
     /// When the last report was received.
-    pub reported: Option<Instant>,
+    pub reported_at: Option<Instant>,
     /// A lower bound for the time at which the last report was sampled, derived from the time of
     /// its request and the age that the engine stated.
     pub sampled: Instant,
@@ -83,7 +83,7 @@
     /// Whether its last report said that it is draining, which the platform's list shows later.
     pub draining: bool,
     /// Whether this instance owns it and no previous owner can unload what it holds.
-    pub safe: bool,
+    pub is_exclusive: bool,
     /// Whether a report is in flight. Only one is requested at a time, since two could be mistaken
     /// for each other.
     pub probing: bool,
@@ -103,7 +103,7 @@
 
     /// Returns whether a revision is loaded on it and may be used.
     pub fn has_loaded(&self, revision: key::Revision) -> bool {
-        self.safe && self.holds(revision)
+        self.is_exclusive && self.holds(revision)
     }
 
     /// Returns whether a revision is loaded on it, according to orders and reports.
@@ -114,7 +114,7 @@
 
     /// Returns whether the last report is still current at `now`.
     pub fn has_fresh_report(&self, now: Instant) -> bool {
-        self.reported.is_some_and(|taken| now < taken + REPORT_TTL)
+        self.reported_at.is_some_and(|taken| now < taken + REPORT_TTL)
     }
 
     /// Records that a load was ordered. From now on, the revision takes an adapter slot.
@@ -188,7 +188,7 @@
     pub fn mark_abandoned(&mut self, now: Instant, revision: key::Revision) {
         if let Some(resident) = self.residents.get_mut(&revision) {
             resident.uncertain_until = now + MAX_REQUEST_DELAY;
-            resident.reported = resident.reported.max(1);
+            resident.reported_running = resident.reported_running.max(1);
         }
     }
 
@@ -211,7 +211,7 @@
             return None;
         };
         let lower_bound = u32::from(sampled < resident.uncertain_until);
-        resident.reported = running.max(lower_bound);
+        resident.reported_running = running.max(lower_bound);
         let settled = order.is_none_or(|order| match resident.residency {
             Residency::Loading | Residency::Loaded => order.is_confirmed_at(sampled),
             Residency::Unloading => order.is_refuted_at(sampled),
@@ -258,7 +258,7 @@
 
 impl Fleet {
     /// Updates the upstreams to match the platform's list.
-    pub fn list(&mut self, listings: &[Listing]) {
+    pub fn apply_listing(&mut self, listings: &[Listing]) {
         let listed: Set<&str> = listings.iter().map(|listing| &*listing.name).collect();
         self.upstreams.retain(|_, upstream| listed.contains(&*upstream.listing.name));
         self.by_name.retain(|name, _| listed.contains(&**name));
@@ -277,13 +277,13 @@
             residents: Map::default(),
             running: 0,
             incarnation: 0,
-            reported: None,
+            reported_at: None,
             sampled: Instant::ZERO,
             probed: Instant::ZERO,
             next_probe: Instant::ZERO,
             ejected_until: Instant::ZERO,
             draining: false,
-            safe: false,
+            is_exclusive: false,
             probing: false,
             orders: Map::default(),
         });
@@ -329,7 +329,7 @@
             return Vec::new();
         }
         upstream.sampled = sampled;
-        upstream.reported = Some(now);
+        upstream.reported_at = Some(now);
         upstream.incarnation = report.incarnation;
         upstream.draining = report.draining;
         let mut reported_revisions = Set::default();
--- a/crates/orioleroute/src/limits.rs
+++ b/crates/orioleroute/src/limits.rs
@@ -30,7 +30,7 @@
 ///
 /// Requests beyond the upstream's concurrency wait on the engine until they can join the batch. At
 /// most one further batch may wait there.
-pub fn has_room(importance: Importance, running: u32, concurrency: u32) -> bool {
+pub fn has_capacity(importance: Importance, running: u32, concurrency: u32) -> bool {
     running < concurrency || admits(importance, (running - concurrency) as usize, concurrency)
 }
 
@@ -54,7 +54,7 @@
 
 impl LoadTime {
     /// Updates the estimate with the duration of a load that has ended.
-    pub fn note(&mut self, duration: Duration) {
+    pub fn observe(&mut self, duration: Duration) {
         self.mean = (self.mean * (SMOOTHING - 1) + duration) / SMOOTHING;
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// Returns the expected wait for a load behind `ahead` others, with `parallel` loads at a time.
-    pub fn wait(&self, ahead: usize, parallel: u32) -> Duration {
+    pub fn expected_wait(&self, ahead: usize, parallel: u32) -> Duration {
         self.mean + self.mean * (ahead as u32) / parallel.max(1)
     }
 }
--- a/crates/orioleroute/src/membership.rs
+++ b/crates/orioleroute/src/membership.rs
@@ -114,7 +114,7 @@
     leaving_since: Option<Instant>,
     /// Whether the table has not answered for too long while this instance was leaving.
     leave_timed_out: bool,
-    changes: u64,
+    generation: u64,
 }
 
 impl Membership {
@@ -145,7 +145,7 @@
             token,
             leaving_since: None,
             leave_timed_out: false,
-            changes: 0,
+            generation: 0,
         }
     }
 
@@ -170,8 +170,8 @@
     }
 
     /// Returns a number that increases with each change of a known view.
-    pub fn changes(&self) -> u64 {
-        self.changes
+    pub fn generation(&self) -> u64 {
+        self.generation
     }
 
     /// Returns the peer address of an instance, if it is a member of a known view.
@@ -292,7 +292,7 @@
     }
 
     /// Handles the outcome of a table operation, and returns whether this module started it.
-    pub fn take_outcome(
+    pub fn handle_outcome(
         &mut self,
         now: Instant,
         ticket: Ticket,
@@ -313,7 +313,7 @@
     }
 
     /// Handles a message if it is about membership, and ignores others.
-    pub fn take_message(
+    pub fn handle_message(
         &mut self,
         now: Instant,
         from: &Arc<str>,
--- a/crates/orioleroute/src/membership/propagation.rs
+++ b/crates/orioleroute/src/membership/propagation.rs
@@ -13,7 +13,7 @@
             return;
         }
         let previous = self.views.insert(view.region.clone(), view.clone());
-        self.changes += 1;
+        self.generation += 1;
         if view.region == self.identity.region {
             self.previous_view = previous;
             self.record_removed();
--- a/crates/orioleroute/src/ownership.rs
+++ b/crates/orioleroute/src/ownership.rs
@@ -111,7 +111,7 @@
 
     /// Updates the rights on the owned upstreams at `now`, and returns whether there are upstreams on
     /// which the leases of all previous owners have newly expired.
-    pub fn mature(&mut self, now: Instant, membership: &Membership) -> bool {
+    pub fn advance(&mut self, now: Instant, membership: &Membership) -> bool {
         let acknowledged_at = membership.acknowledged_at();
         let expired_at = membership.leases_expire_at().filter(|expire_at| now >= *expire_at);
         let mut any = false;
@@ -123,19 +123,20 @@
         any
     }
 
-    /// Returns whether an upstream would carry out no further order of a previous owner.
+    /// Returns whether this instance may issue orders to an owned upstream, because no order of a
+    /// previous owner can still take effect there.
     ///
-    /// `fenced` is whether the engine checks fencing tokens. Such engines refuse those orders, so
-    /// there is no need to wait for the leases of previous owners to expire.
-    pub fn is_settled(&self, key: key::Upstream, fenced: bool) -> bool {
-        self.tenures.get(&key).is_some_and(|tenure| match fenced {
+    /// `checks_fencing` is whether the engine checks fencing tokens. Such engines refuse the orders of
+    /// previous owners, so there is no need to wait for their leases to expire.
+    pub fn may_order(&self, key: key::Upstream, checks_fencing: bool) -> bool {
+        self.tenures.get(&key).is_some_and(|tenure| match checks_fencing {
             true => tenure.acknowledged_at.is_some(),
             false => tenure.leases_expired_at.is_some(),
         })
     }
 
     /// Records that an upstream that checks fencing tokens has carried out an order of this instance.
-    pub fn fence(&mut self, key: key::Upstream) {
+    pub fn mark_fenced(&mut self, key: key::Upstream) {
         if let Some(tenure) = self.tenures.get_mut(&key) {
             tenure.fenced = true;
         }
@@ -143,7 +144,7 @@
 
     /// Returns whether no previous owner can still unload anything from an owned upstream, so that
     /// its loaded adapters can be used.
-    pub fn is_safe(&self, key: key::Upstream) -> bool {
+    pub fn is_exclusive(&self, key: key::Upstream) -> bool {
         self.tenures
             .get(&key)
             .is_some_and(|tenure| tenure.fenced || tenure.leases_expired_at.is_some())
@@ -153,18 +154,18 @@
     ///
     /// Only orders carry fencing tokens, so the lease of a previous owner must expire even for
     /// engines that check them.
-    pub fn alone_since(&self, key: key::Upstream) -> Option<Instant> {
+    pub fn sole_sender_since(&self, key: key::Upstream) -> Option<Instant> {
         let tenure = self.tenures.get(&key)?;
         tenure.leases_expired_at.map(|expired_at| expired_at.max(tenure.gained_at))
     }
 
     /// Returns the upstreams that this instance owns.
-    pub fn mine(&self) -> impl Iterator<Item = key::Upstream> {
+    pub fn owned_upstreams(&self) -> impl Iterator<Item = key::Upstream> {
         self.tenures.keys().copied()
     }
 
     /// Returns the owned upstreams that run a base model.
-    pub fn owned(&self, model: &str) -> &[key::Upstream] {
+    pub fn owned_for_model(&self, model: &str) -> &[key::Upstream] {
         self.owned.get(model).map_or(&[], |keys| keys)
     }
 
--- a/crates/orioleroute/src/placement.rs
+++ b/crates/orioleroute/src/placement.rs
@@ -105,13 +105,15 @@
 /// Returns the revisions that may be unloaded, with when each was last used.
 fn idle_residents(upstream: &Upstream) -> impl Iterator<Item = (key::Revision, Instant)> {
     let unused = |resident: &Resident| {
-        resident.residency == Residency::Loaded && resident.running == 0 && resident.reported == 0
+        resident.residency == Residency::Loaded
+            && resident.running == 0
+            && resident.reported_running == 0
     };
     upstream
         .residents
         .iter()
         .filter(move |(_, resident)| unused(resident))
-        .map(|(victim, resident)| (*victim, resident.used))
+        .map(|(victim, resident)| (*victim, resident.last_used))
 }
 
 /// Returns on how many of these upstreams each revision is loaded.
--- a/crates/orioleroute/src/request.rs
+++ b/crates/orioleroute/src/request.rs
@@ -140,13 +140,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
     /// The first part of the response was sent to the caller, so there can be no further attempt.
-    Begun,
+    ResponseStarted,
     /// The attempt failed.
     Failed(Failure),
     /// The whole response was sent to the caller.
     Finished,
     /// The caller disconnected.
-    Gone,
+    CallerDisconnected,
 }
 
 /// How an attempt failed.
--- a/crates/orioleroute/src/retry.rs
+++ b/crates/orioleroute/src/retry.rs
@@ -55,13 +55,13 @@
         Self { limits, tokens, refilled_at: Instant::ZERO }
     }
 
-    /// Adds the token that a request's first attempt earns.
-    pub fn earn(&mut self) {
+    /// Deposits the token of a request's first attempt.
+    pub fn deposit(&mut self) {
         self.add(1);
     }
 
-    /// Spends one retry and returns whether there was one.
-    pub fn spend(&mut self, now: Instant) -> bool {
+    /// Withdraws one retry, and returns whether one was available.
+    pub fn withdraw(&mut self, now: Instant) -> bool {
         let Limits { requests_per_retry, burst, time_per_retry } = self.limits;
         let periods = now.since(self.refilled_at).as_micros() / time_per_retry.as_micros();
         if periods > 0 {
--- a/crates/orioleroute/src/routing.rs
+++ b/crates/orioleroute/src/routing.rs
@@ -69,6 +69,6 @@
 /// wait this long for a load.
 ///
 /// Traffic between regions is slow and billed. The policy sets the wait that outweighs this.
-pub fn leaves_region(wait: Duration, policy: &Policy) -> bool {
+pub fn prefers_remote_region(wait: Duration, policy: &Policy) -> bool {
     wait > Duration::from_millis(policy.region_penalty_ms.into())
 }
--- a/crates/orioleroute/tests/fleet.rs
+++ b/crates/orioleroute/tests/fleet.rs
@@ -30,7 +30,7 @@
         zone: "zurich-1".into(),
         phase: Phase::Live,
     };
-    fleet.list(&[listing]);
+    fleet.apply_listing(&[listing]);
     let upstream = fleet.iter().next().unwrap().0;
     let revision = catalog.intern("leap-second@v1");
     Fixture { fleet, catalog, upstream, revision }
--- a/crates/orioleroute/tests/limits.rs
+++ b/crates/orioleroute/tests/limits.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use orioleroute::document::Importance;
-use orioleroute::limits::{LoadTime, admits, has_room};
+use orioleroute::limits::{LoadTime, admits, has_capacity};
 use proptest::prelude::*;
 
 proptest! {
@@ -25,7 +25,7 @@
         concurrency in 1..50_u32,
     ) {
         let admitted = [Importance::Low, Importance::Normal, Importance::High]
-            .map(|importance| has_room(importance, running, concurrency));
+            .map(|importance| has_capacity(importance, running, concurrency));
 
         prop_assert!(admitted.is_sorted());
         prop_assert!(!admitted[2] || running < 2 * concurrency);
@@ -36,13 +36,13 @@
 #[test]
 fn the_expected_wait_grows_with_those_ahead_and_follows_slow_loads() {
     let mut time = LoadTime::default();
-    let quick = time.wait(0, 1);
+    let quick = time.expected_wait(0, 1);
 
     for _ in 0..50 {
-        time.note(Duration::from_secs(2));
+        time.observe(Duration::from_secs(2));
     }
 
-    assert!(time.wait(0, 1) > Duration::from_millis(1_900));
-    assert!(time.wait(4, 1) > time.wait(4, 2));
-    assert!(time.wait(0, 1) > quick);
+    assert!(time.expected_wait(0, 1) > Duration::from_millis(1_900));
+    assert!(time.expected_wait(4, 1) > time.expected_wait(4, 2));
+    assert!(time.expected_wait(0, 1) > quick);
 }
--- a/crates/orioleroute/tests/policy.rs
+++ b/crates/orioleroute/tests/policy.rs
@@ -56,13 +56,13 @@
     let mut fleet = Fleet::default();
     let listings: Vec<_> =
         (0..running.len()).map(|engine| Engine::new(engine, "pool", "zurich", 2).listing).collect();
-    fleet.list(&listings);
+    fleet.apply_listing(&listings);
     let mut keys: Vec<key::Upstream> = fleet.iter().map(|(key, _)| key).collect();
     keys.sort_by_key(|key| fleet.get(*key).map(|upstream| upstream.listing.address));
     let mut revisions = revisions.iter();
     for (key, running) in keys.iter().zip(running) {
         let upstream = fleet.get_mut(*key).expect("the upstream is listed");
-        upstream.reported = Some(Instant::ZERO);
+        upstream.reported_at = Some(Instant::ZERO);
         for running in running {
             let mut resident = Resident::new(Residency::Loaded, 0, Instant::ZERO);
             resident.running = *running;
@@ -153,12 +153,12 @@
     let second = |number: u64| Instant::from_millis(number * 1_000);
     for number in 0..300 {
         demand.sweep(second(number));
-        demand.note(second(number), old);
+        demand.observe(second(number), old);
     }
 
     for number in 300..330 {
         demand.sweep(second(number));
-        demand.note(second(number), new);
+        demand.observe(second(number), new);
     }
 
     assert!(demand.rate(second(330), new) > demand.rate(second(330), old));
--- a/crates/orioleroute/tests/retries.rs
+++ b/crates/orioleroute/tests/retries.rs
@@ -84,13 +84,13 @@
 fn time_and_requests_earn_retries() {
     let mut budget = Budget::default();
     let start = Instant::from_millis(0);
-    assert!((0..DEFAULT_BURST).all(|_| budget.spend(start)));
-    assert!(!budget.spend(start));
+    assert!((0..DEFAULT_BURST).all(|_| budget.withdraw(start)));
+    assert!(!budget.withdraw(start));
 
-    assert!(budget.spend(start + DEFAULT_TIME_PER_RETRY));
-    assert!(!budget.spend(start + DEFAULT_TIME_PER_RETRY));
-    (0..10).for_each(|_| budget.earn());
-    assert!(budget.spend(start + DEFAULT_TIME_PER_RETRY));
+    assert!(budget.withdraw(start + DEFAULT_TIME_PER_RETRY));
+    assert!(!budget.withdraw(start + DEFAULT_TIME_PER_RETRY));
+    (0..10).for_each(|_| budget.deposit());
+    assert!(budget.withdraw(start + DEFAULT_TIME_PER_RETRY));
 }
 
 #[test]
@@ -102,7 +102,7 @@
     let request = core.admit();
     let spec = spec(Target::Service("bookings".into()));
     core.handle(now, Event::Arrived { request, spec });
-    core.handle(now, Event::Progress { request, progress: Progress::Begun });
+    core.handle(now, Event::Progress { request, progress: Progress::ResponseStarted });
 
     let progress = Progress::Failed(Failure::Broken);
     let effects = core.handle(now, Event::Progress { request, progress });
@@ -179,7 +179,7 @@
         let (ticket, upstream) =
             ordered.iter().find_map(order_of).expect("the revision is loaded again");
         let outcome = engine::Outcome::Done;
-        effects = core.handle(now, Event::Ordered { ticket, upstream, outcome });
+        effects = core.handle(now, Event::OrderEnded { ticket, upstream, outcome });
     }
 }
 
--- a/crates/standins/src/bench/replay.rs
+++ b/crates/standins/src/bench/replay.rs
@@ -117,12 +117,12 @@
                 crate::system::listing(&format!("engine-{engine}"), "pool", &region, address)
             })
             .collect();
-        fleet.list(&listings);
+        fleet.apply_listing(&listings);
         let mut keys = vec![key::Upstream::default(); listings.len()];
         for (key, upstream) in fleet.iter_mut() {
-            upstream.reported = Some(Instant::from_micros(u64::MAX / 2));
+            upstream.reported_at = Some(Instant::from_micros(u64::MAX / 2));
             // There are no former owners that could unload anything.
-            upstream.safe = true;
+            upstream.is_exclusive = true;
             keys[usize::from(upstream.listing.address.port()) - 1_000] = key;
         }
         let ideas = if let Policy::Ours(ideas) = policy { ideas } else { Ideas::ALL };
@@ -195,7 +195,7 @@
         self.figures.requests += u32::from(self.measures(number));
         let group = self.group(&request);
         let now = self.instant();
-        self.demand[group].note(now, self.revisions[request.adapter]);
+        self.demand[group].observe(now, self.revisions[request.adapter]);
         if let Some(engine) = self.holder(group, request.adapter) {
             if self.is_ours() && self.ideas.refuse && !self.has_room(engine) {
                 return self.spill(number, group);
@@ -206,10 +206,10 @@
             return self.dispatch(number, engine);
         }
         let wait = Duration::from_secs_f64(self.expected_wait(group));
-        let leaves = routing::leaves_region(wait, &document::Policy::default());
+        let leaves = routing::prefers_remote_region(wait, &document::Policy::default());
         let remote = self.remote_holder(&request).filter(|_| leaves);
         if let Some((group, engine)) = remote.filter(|(_, engine)| self.has_room(*engine)) {
-            self.demand[group].note(now, self.revisions[request.adapter]);
+            self.demand[group].observe(now, self.revisions[request.adapter]);
             return self.dispatch(number, engine);
         }
         if self.measures(number) {
@@ -285,7 +285,7 @@
 
     fn has_room(&self, engine: usize) -> bool {
         let running = self.fleet.get(self.keys[engine]).map_or(0, |upstream| upstream.running);
-        limits::has_room(Importance::Normal, running, self.deployment.concurrency)
+        limits::has_capacity(Importance::Normal, running, self.deployment.concurrency)
     }
 
     fn is_full(&self, engine: usize) -> bool {
@@ -309,7 +309,7 @@
         let next = homes.into_iter().max_by(|one, other| score(one).total_cmp(&score(other)));
         let Some(next) = next else { return self.refuse(number) };
         let now = self.instant();
-        self.demand[next].note(now, self.revisions[request.adapter]);
+        self.demand[next].observe(now, self.revisions[request.adapter]);
         match self.holder(next, request.adapter) {
             Some(engine) if self.has_room(engine) => self.dispatch(number, engine),
             Some(_) => self.refuse(number),
@@ -324,7 +324,7 @@
 
     fn expected_wait(&self, group: usize) -> f64 {
         let ahead = self.waiting.keys().filter(|(queued, _)| *queued == group).count();
-        self.load_time.wait(ahead, self.share() as u32).as_secs_f64()
+        self.load_time.expected_wait(ahead, self.share() as u32).as_secs_f64()
     }
 
     /// Returns the loads that one owner may have in transit.
@@ -347,7 +347,7 @@
         upstream.running += 1;
         if let Some(resident) = upstream.residents.get_mut(&revision) {
             resident.running += 1;
-            resident.used = now;
+            resident.last_used = now;
         }
         self.batches[engine].queue.push_back(number);
         self.batches[engine].advance(self.now);
--- a/crates/standins/src/bench/replay/loads.rs
+++ b/crates/standins/src/bench/replay/loads.rs
@@ -99,7 +99,7 @@
         });
         let Some((key, load)) = found else { return };
         let key = *key;
-        self.load_time.note(Duration::from_secs_f64(self.now - load.ordered));
+        self.load_time.observe(Duration::from_secs_f64(self.now - load.ordered));
         self.loads.remove(&key);
         let upstream = self.fleet.get_mut(self.keys[engine]).expect("it is listed");
         if let Some(resident) = upstream.residents.get_mut(&self.revisions[adapter]) {
--- a/crates/standins/src/world/caller.rs
+++ b/crates/standins/src/world/caller.rs
@@ -133,7 +133,7 @@
         for child in children.map(|(child, _)| *child).collect::<Vec<_>>() {
             self.parents.remove(&child);
             self.places.remove(&child);
-            self.tell_progress(child.0, child.1, Progress::Gone);
+            self.tell_progress(child.0, child.1, Progress::CallerDisconnected);
         }
     }
 
@@ -156,7 +156,7 @@
                 self.finish(node, request, Outcome::Broken);
                 // The connection is closed, so that whatever the core decides reaches nobody.
                 self.finished.remove(&(node, request));
-                self.tell_progress(node, request, Progress::Begun);
+                self.tell_progress(node, request, Progress::ResponseStarted);
                 self.tell_progress(node, request, Progress::Failed(Failure::Broken));
             }
             End::Failed(failure) => {
--- a/crates/standins/src/world/engine.rs
+++ b/crates/standins/src/world/engine.rs
@@ -186,7 +186,7 @@
             // The process that took it has ended, which breaks the connection.
             let (node, incarnation) = (order.node, order.incarnation);
             let Order { ticket, upstream, .. } = order;
-            let event = Event::Ordered { ticket, upstream, outcome: Outcome::Unknown };
+            let event = Event::OrderEnded { ticket, upstream, outcome: Outcome::Unknown };
             return self.queue.push(self.now, Delivery::Event { node, incarnation, event });
         }
         let load = matches!(order.order, engine::Order::Load { .. });
@@ -219,7 +219,7 @@
             _ => self.delay(DELAY_US),
         };
         let (node, incarnation) = (order.node, order.incarnation);
-        let event = Event::Ordered { ticket: order.ticket, upstream: order.upstream, outcome };
+        let event = Event::OrderEnded { ticket: order.ticket, upstream: order.upstream, outcome };
         self.queue.push(self.now + wait, Delivery::Event { node, incarnation, event });
     }
 
--- a/crates/standins/src/world/mod.rs
+++ b/crates/standins/src/world/mod.rs
@@ -284,7 +284,7 @@
         let at = self.nodes[node].listed_at.max(self.now + lag);
         self.nodes[node].listed_at = at;
         let incarnation = self.nodes[node].identity.incarnation;
-        let event = Event::Listed(list);
+        let event = Event::UpstreamsListed(list);
         self.queue.push(at, Delivery::Event { node, incarnation, event });
     }
 
@@ -379,14 +379,14 @@
         match effect {
             Effect::Send { address, message, .. } => self.send(number, address, message),
             Effect::Table { ticket, operation } => self.ask_table(number, ticket, operation),
-            Effect::Put { ticket, key, value } => {
+            Effect::WriteObject { ticket, key, value } => {
                 if let Some((Ticket(ticket), document)) = self.commanding.clone() {
                     let object = key.to_string();
                     self.record(Record::Submitted { ticket, object, document });
                 }
                 self.put_object(number, ticket, &key, &value);
             }
-            Effect::Get { ticket, key } => self.get_object(number, ticket, &key),
+            Effect::ReadObject { ticket, key } => self.get_object(number, ticket, &key),
             Effect::Order { ticket, upstream, address, order, fencing } => {
                 self.nodes[number].counts.orders += 1;
                 let at = self.now + self.delay(LOCAL_DELAY_US);
@@ -409,7 +409,7 @@
                 self.record(Record::Told { ticket: ticket.0, answer: answer.clone() });
                 self.answers.insert(ticket.0, answer);
             }
-            Effect::Decide(_) => {}
+            Effect::LogDecision(_) => {}
         }
     }
 
@@ -425,7 +425,7 @@
     /// Lets an event arrive again, after others that were sent later.
     fn duplicate(&mut self, node: usize, incarnation: u64, event: &Event) {
         // A node polls the list and has no old one after a new one.
-        let is_reply = !matches!(event, Event::Listed(_));
+        let is_reply = !matches!(event, Event::UpstreamsListed(_));
         if self.duplicates > 0 && is_reply && self.draw(100) < self.duplicates {
             let at = self.now + self.delay(DUPLICATE_DELAY_US);
             let event = event.clone();
--- a/crates/standins/src/world/platform.rs
+++ b/crates/standins/src/world/platform.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use orioleroute::config::HEAD;
+use orioleroute::config::HEAD_KEY;
 use orioleroute::key::Ticket;
 use orioleroute::message::Mark;
 use orioleroute::prelude::{Arc, Event, Instant};
@@ -137,7 +137,7 @@
 
     /// Notes what a write accepted.
     fn note_head(&mut self, writes: &[Write]) {
-        let head = writes.iter().find(|write| &*write.key == HEAD);
+        let head = writes.iter().find(|write| &*write.key == HEAD_KEY);
         let Some(value) = head.and_then(|write| write.value.as_deref()) else { return };
         let Ok(Mark { version, token }) = serde_json::from_str(value) else { return };
         let object = format!("config/{version}-{token:016x}.json");
@@ -155,14 +155,14 @@
         if stored {
             self.platform.objects.insert(key.clone(), value.clone());
         }
-        let event = Event::Put { ticket, stored };
+        let event = Event::ObjectWritten { ticket, stored };
         self.reply(node, event);
     }
 
     pub(super) fn get_object(&mut self, node: usize, ticket: Ticket, key: &Arc<str>) {
         let reachable = !self.platform.faults.objects_down && !self.severed.contains(&node);
         let value = self.platform.objects.get(key).filter(|_| reachable).cloned();
-        let event = Event::Got { ticket, value };
+        let event = Event::ObjectRead { ticket, value };
         self.reply(node, event);
     }
 
