--- a/crates/orioleroute-node/src/engines.rs
+++ b/crates/orioleroute-node/src/engines.rs
@@ -48,7 +48,7 @@
         warn!(shell.log, "order did not succeed"; "upstream" => address.to_string(),
             "served" => &**order.name(), "outcome" => format!("{outcome:?}"));
     }
-    shell.handle(Event::Ordered { ticket, upstream, outcome });
+    shell.handle(Event::OrderEnded { ticket, upstream, outcome });
 }
 
 /// Fetches an engine's report and passes it, or its absence, to the core.
--- a/crates/orioleroute-node/src/gateway/state.rs
+++ b/crates/orioleroute-node/src/gateway/state.rs
@@ -9,7 +9,7 @@
 use monoio::net::UnixStream;
 use orioleroute::hash::Map;
 use orioleroute::ingress::Configuration;
-use orioleroute::ingress::deadline::Longest;
+use orioleroute::ingress::deadline::DeadlineTracker;
 use orioleroute::ingress::health::Health;
 use orioleroute::ingress::registry::Registry;
 use orioleroute::ingress::roster::{Member, Roster};
@@ -63,7 +63,7 @@
     health: RefCell<Map<Arc<str>, Health>>,
     retry_budgets: RefCell<Map<Arc<str>, retry::Budget>>,
     adapter_versions: RefCell<Map<AdapterKey, u64>>,
-    deadlines: RefCell<Map<Arc<str>, Longest>>,
+    deadlines: RefCell<Map<Arc<str>, DeadlineTracker>>,
     stopping_since: Cell<Option<Instant>>,
     in_flight: Cell<usize>,
     reserved_body_bytes: Cell<usize>,
@@ -189,15 +189,15 @@
         versions.iter().map(announcement).collect()
     }
 
-    /// Credits a request to the retry budget of its service.
-    pub fn earn_retry(&self, service: &Arc<str>) {
-        self.retry_budget(service).earn();
+    /// Deposits the token of a request in the retry budget of its service.
+    pub fn deposit_retry(&self, service: &Arc<str>) {
+        self.retry_budget(service).deposit();
     }
 
-    /// Takes one retry from the budget of a service, and returns whether one was available.
-    pub fn spend_retry(&self, service: &Arc<str>) -> bool {
+    /// Withdraws one retry from the budget of a service, and returns whether one was available.
+    pub fn withdraw_retry(&self, service: &Arc<str>) -> bool {
         let now = self.now();
-        self.retry_budget(service).spend(now)
+        self.retry_budget(service).withdraw(now)
     }
 
     /// Returns how long a client of a route has been waiting since its first attempt, estimated from
@@ -287,7 +287,7 @@
             }
             Outcome::Print(_) => {}
             Outcome::Fail(message) => {
-                warn!(self.log, "settings rejected, the former stay"; "error" => message);
+                warn!(self.log, "settings rejected, keeping the previous ones"; "error" => message);
             }
         }
     }
--- a/crates/orioleroute-node/src/platform.rs
+++ b/crates/orioleroute-node/src/platform.rs
@@ -117,7 +117,7 @@
     let address = shell.settings.objects_address;
     let answer = shell.pool.call_within(address, call, REPLY_TIMEOUT).await;
     let stored = answer.is_ok_and(|answer| answer.status.is_success());
-    shell.handle(Event::Put { ticket, stored });
+    shell.handle(Event::ObjectWritten { ticket, stored });
 }
 
 /// Reads an object and passes its value, or its absence, to the core.
@@ -130,7 +130,7 @@
         .filter(|answer| answer.status.is_success())
         .and_then(|answer| String::from_utf8(answer.body.to_vec()).ok())
         .map(Arc::from);
-    shell.handle(Event::Got { ticket, value });
+    shell.handle(Event::ObjectRead { ticket, value });
 }
 
 /// Reads the instance list periodically and passes it to the core.
@@ -140,7 +140,7 @@
         let call = Call::new(Method::GET, "/instances");
         let answer = shell.pool.call_within(address, call, REPLY_TIMEOUT).await;
         if let Ok(list) = answer.and_then(|answer| answer.json::<Vec<Listing>>(address)) {
-            shell.handle(Event::Listed(list));
+            shell.handle(Event::UpstreamsListed(list));
         }
         monoio::time::sleep(LIST_POLL_INTERVAL).await;
     }
--- a/crates/orioleroute-node/src/relay.rs
+++ b/crates/orioleroute-node/src/relay.rs
@@ -72,7 +72,7 @@
 /// has to be closed.
 pub async fn run(shell: &Rc<Shell>, connection: &mut Connection, job: Job) -> Result<(), Error> {
     let (key, mut steps) = shell.admit();
-    let mut guard = Guard { shell: shell.clone(), key, outcome: Progress::Gone };
+    let mut guard = Guard { shell: shell.clone(), key, outcome: Progress::CallerDisconnected };
     let Job { request, spec, stream } = job;
     if let Some(name) = request.header("x-request-id") {
         shell.name_request(key, name);
@@ -140,14 +140,14 @@
 impl Guard {
     /// Suppresses the report, for an outcome that the core decided itself.
     fn disarm(&mut self) {
-        self.outcome = Progress::Begun;
+        self.outcome = Progress::ResponseStarted;
     }
 }
 
 impl Drop for Guard {
     fn drop(&mut self) {
         self.shell.remove_request(self.key);
-        if self.outcome != Progress::Begun {
+        if self.outcome != Progress::ResponseStarted {
             self.shell.handle(Event::Progress { request: self.key, progress: self.outcome });
         }
     }
@@ -338,7 +338,10 @@
         connection.chunk(&complete).await?;
         if !response_started {
             response_started = true;
-            guard.shell.handle(Event::Progress { request: guard.key, progress: Progress::Begun });
+            guard.shell.handle(Event::Progress {
+                request: guard.key,
+                progress: Progress::ResponseStarted,
+            });
         }
     }
 }
--- a/crates/orioleroute-node/src/shell.rs
+++ b/crates/orioleroute-node/src/shell.rs
@@ -162,10 +162,10 @@
             Effect::Table { ticket, operation } => {
                 monoio::spawn(platform::run_table_operation(self.clone(), ticket, operation));
             }
-            Effect::Put { ticket, key, value } => {
+            Effect::WriteObject { ticket, key, value } => {
                 monoio::spawn(platform::write_object(self.clone(), ticket, key, value));
             }
-            Effect::Get { ticket, key } => {
+            Effect::ReadObject { ticket, key } => {
                 monoio::spawn(platform::read_object(self.clone(), ticket, key));
             }
             Effect::Order { ticket, upstream, address, order, fencing } => {
@@ -186,7 +186,7 @@
                     let _ = sender.send(answer);
                 }
             }
-            Effect::Decide(decision) => self.log_decision(&decision),
+            Effect::LogDecision(decision) => self.log_decision(&decision),
         }
     }
 
--- a/crates/orioleroute-node/tests/platform_settings.rs
+++ b/crates/orioleroute-node/tests/platform_settings.rs
@@ -101,7 +101,7 @@
     std::fs::write(&file.0, settings("grace-ms = soon\n")).unwrap();
     let pid = Pid::from_raw(child.id() as i32);
     kill(pid, Signal::SIGHUP).unwrap();
-    let rejected = read_until_logged(&mut lines, "settings rejected, the former stay");
+    let rejected = read_until_logged(&mut lines, "settings rejected, keeping the previous ones");
     std::fs::write(&file.0, settings("grace-ms = 9000\n")).unwrap();
     kill(pid, Signal::SIGHUP).unwrap();
     read_until_logged(&mut lines, "settings reloaded");
--- a/crates/orioleroute-wire/src/http1/socket.rs
+++ b/crates/orioleroute-wire/src/http1/socket.rs
@@ -98,7 +98,7 @@
     }
 
     /// Returns whether there is no unread input and the peer has not closed the connection.
-    pub fn is_quiet(&mut self) -> bool {
+    pub fn is_idle(&mut self) -> bool {
         let mut context = Context::from_waker(Waker::noop());
         self.input.is_empty() && self.poll_fill(&mut context).is_pending()
     }
--- a/crates/orioleroute/src/config/submission.rs
+++ b/crates/orioleroute/src/config/submission.rs
@@ -1,7 +1,7 @@
 //! The processing of an operator's submission until it is accepted.
 
 use super::fetch::object_key;
-use super::{Change, Config, HEAD, STAGED, VersionedDocument, answer, send};
+use super::{Change, Config, HEAD_KEY, STAGED_KEY, VersionedDocument, answer, send};
 use crate::document::{Delta, Document};
 use crate::effect::Effects;
 use crate::hash::digest;
@@ -83,8 +83,7 @@
             return answer(ticket, Answer::Conflict { version }, effects);
         }
         if self.submission.is_some() {
-            let reason =
-                "another submission is in progress at this instance; nothing was accepted".into();
+            let reason = "another submission is under way here; nothing was accepted".into();
             return answer(ticket, Answer::Failed { reason }, effects);
         }
         let mark = Mark { version: base + 1, token: digest(&(ticket.0, now, text)) };
@@ -93,7 +92,11 @@
         let object = Self::to_proposal(&versioned, mark.version % SNAPSHOT_INTERVAL == 1);
         let value = serde_json::to_string(&object).unwrap_or_default();
         let storing = effects.ticket();
-        effects.push(Effect::Put { ticket: storing, key: object_key(mark), value: value.into() });
+        effects.push(Effect::WriteObject {
+            ticket: storing,
+            key: object_key(mark),
+            value: value.into(),
+        });
         self.stale_views = true;
         self.submission = Some(Submission {
             ticket,
@@ -124,13 +127,13 @@
     }
 
     /// Handles the outcome of writing the object.
-    pub fn take_put(&mut self, ticket: Ticket, stored: bool, effects: &mut Effects) {
+    pub fn handle_put(&mut self, ticket: Ticket, stored: bool, effects: &mut Effects) {
         let Some(submission) = &mut self.submission else { return };
         if submission.stage != Stage::Storing(ticket) {
             return;
         }
         if !stored {
-            let reason = "the object store did not store the document; nothing was accepted".into();
+            let reason = "the object store did not take the document; nothing was accepted".into();
             answer(submission.ticket, Answer::Failed { reason }, effects);
             self.submission = None;
             return;
@@ -142,7 +145,7 @@
         let Some(submission) = &mut self.submission else { return };
         let mark = submission.versioned.mark;
         let expect = Expect::unchanged(self.staged_row_version);
-        let write = Write::put(STAGED, expect, &mark);
+        let write = Write::put(STAGED_KEY, expect, &mark);
         submission.next_staged_version = expect.next_version();
         submission.stage = Stage::Staging(effects.table(Operation::Write(vec![write])));
     }
@@ -228,8 +231,8 @@
                 accepted.is_some_and(|submission| self.activate(submission.versioned))
             }
             Some(head) if head.version > mark.version && submission.may_be_accepted => {
-                let reason = "a later version was accepted before it was known whether this one \
-                              was; compare the active document";
+                let reason = "another version followed before it was known whether this one was \
+                              accepted; compare the document in force";
                 answer(ticket, Answer::Failed { reason: reason.into() }, effects);
                 self.submission = None;
                 false
@@ -240,7 +243,7 @@
                 false
             }
             _ if superseded => {
-                let reason = "another submission superseded it; nothing was accepted".into();
+                let reason = "another submission took its place; nothing was accepted".into();
                 answer(ticket, Answer::Failed { reason }, effects);
                 self.submission = None;
                 false
@@ -286,7 +289,8 @@
         let staged = Expect::unchanged(self.staged_row_version);
         submission.next_head_version = head.next_version();
         submission.next_staged_version = staged.next_version();
-        let mut writes = vec![Write::put(HEAD, head, &mark), Write::put(STAGED, staged, &mark)];
+        let mut writes =
+            vec![Write::put(HEAD_KEY, head, &mark), Write::put(STAGED_KEY, staged, &mark)];
         // A view that has changed may include a member that has not been asked to confirm.
         writes.extend(membership.checks());
         submission.stage = Stage::Accepting(effects.table(Operation::Write(writes)));
--- a/crates/orioleroute/src/document/check.rs
+++ b/crates/orioleroute/src/document/check.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use super::{Document, FORMAT, shape};
+use super::{Document, FORMAT, schema};
 use crate::hash::Set;
 
 /// A fault in a document.
@@ -34,14 +34,14 @@
 pub(super) fn parse(text: &str) -> Result<Document, Vec<Fault>> {
     let value: Value = serde_json::from_str(text)
         .map_err(|error| vec![Fault::new("document", error, "JSON text")])?;
-    let faults = shape::faults(&value);
+    let faults = schema::faults(&value);
     if !faults.is_empty() {
         return Err(faults);
     }
     serde_path_to_error::deserialize(&value).map_err(|error| {
         let path = error.path().to_string();
         let cause = error.into_inner();
-        vec![Fault::new(path, cause, "a document that matches the published schema")]
+        vec![Fault::new(path, cause, "a document of the published schema")]
     })
 }
 
@@ -95,7 +95,7 @@
             if version.is_empty() {
                 faults.push(Fault::new(path, "an empty name", "a name"));
             } else if !seen.insert(version) {
-                faults.push(Fault::new(path, version, "a unique version"));
+                faults.push(Fault::new(path, version, "a version named once"));
             }
         }
         for (index, region) in adapter.regions.iter().enumerate() {
@@ -139,7 +139,7 @@
             faults.push(Fault::new(format!("{list}[{index}].name"), "an empty name", "a name"));
         }
         if !seen.insert(name) {
-            faults.push(Fault::new(format!("{list}[{index}].name"), name, "a unique name"));
+            faults.push(Fault::new(format!("{list}[{index}].name"), name, "a name used once"));
         }
     }
     seen
--- a/crates/orioleroute/src/membership.rs
+++ b/crates/orioleroute/src/membership.rs
@@ -4,7 +4,7 @@
 //! changes only by a conditional write to the table. A lease is valid for [`LEASE_DURATION`] after a
 //! read of the view's row that showed the applied version or, while the table does not answer, after
 //! all watchers granted it. A watcher removes a member only after it has granted it no lease for one
-//! lease duration, and a new owner of an engine that does not check fencing numbers waits for one
+//! lease duration, and a new owner of an engine that does not check fencing tokens waits for one
 //! more lease duration before its first order.
 
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 
 mod lease;
 mod poll;
-mod spread;
+mod propagation;
 
 /// The duration of a lease, counted from the moment at which its renewal was sent.
 pub const LEASE_DURATION: Duration = Duration::from_millis(3_000);
@@ -46,7 +46,7 @@
 /// How long watchers can extend a lease that the table has not confirmed.
 ///
 /// An instance that takes over from a member whose watchers' grants are not known to have ended
-/// waits this long before it issues orders to engines that ignore fencing numbers. So this is both
+/// waits this long before it issues orders to engines that ignore fencing tokens. So this is both
 /// the longest table outage during which loads continue and the time without loads after the loss
 /// of a whole region.
 pub const MAX_EXTENSION: Duration = Duration::from_secs(15 * 60);
@@ -114,7 +114,7 @@
     leaving_since: Option<Instant>,
     /// Whether the table has not answered for too long while this instance was leaving.
     leave_timed_out: bool,
-    changes: u64,
+    generation: u64,
 }
 
 impl Membership {
@@ -145,7 +145,7 @@
             token,
             leaving_since: None,
             leave_timed_out: false,
-            changes: 0,
+            generation: 0,
         }
     }
 
@@ -170,8 +170,8 @@
     }
 
     /// Returns a number that increases with each change of a known view.
-    pub fn changes(&self) -> u64 {
-        self.changes
+    pub fn generation(&self) -> u64 {
+        self.generation
     }
 
     /// Returns the peer address of an instance, if it is a member of a known view.
@@ -292,7 +292,7 @@
     }
 
     /// Handles the outcome of a table operation, and returns whether this module started it.
-    pub fn take_outcome(
+    pub fn handle_outcome(
         &mut self,
         now: Instant,
         ticket: Ticket,
@@ -313,7 +313,7 @@
     }
 
     /// Handles a message if it is about membership, and ignores others.
-    pub fn take_message(
+    pub fn handle_message(
         &mut self,
         now: Instant,
         from: &Arc<str>,
--- a/crates/standins/src/bench/replay.rs
+++ b/crates/standins/src/bench/replay.rs
@@ -129,12 +129,12 @@
                 crate::system::listing(&format!("engine-{engine}"), "pool", &region, address)
             })
             .collect();
-        fleet.list(&listings);
+        fleet.apply_listing(&listings);
         let mut keys = vec![key::Upstream::default(); listings.len()];
         for (key, upstream) in fleet.iter_mut() {
-            upstream.reported = Some(Instant::from_micros(u64::MAX / 2));
+            upstream.reported_at = Some(Instant::from_micros(u64::MAX / 2));
             // No previous owner exists that could unload an adapter.
-            upstream.safe = true;
+            upstream.is_exclusive = true;
             keys[usize::from(upstream.listing.address.port()) - 1_000] = key;
         }
         let features =
@@ -210,7 +210,7 @@
         self.metrics.requests += u32::from(self.is_measured(index));
         let group = self.select_group(&request);
         let now = self.instant();
-        self.demand[group].note(now, self.revisions[request.adapter]);
+        self.demand[group].observe(now, self.revisions[request.adapter]);
         if let Some(engine) = self.choose_holder(group, request.adapter) {
             if self.is_orioleroute() && self.features.early_refusal && !self.has_capacity(engine) {
                 return self.overflow(index, group);
@@ -221,10 +221,10 @@
             return self.dispatch(index, engine);
         }
         let wait = Duration::from_secs_f64(self.expected_wait(group));
-        let prefers_remote = routing::leaves_region(wait, &document::Policy::default());
+        let prefers_remote = routing::prefers_remote_region(wait, &document::Policy::default());
         let remote = self.choose_remote_holder(&request).filter(|_| prefers_remote);
         if let Some((group, engine)) = remote.filter(|(_, engine)| self.has_capacity(*engine)) {
-            self.demand[group].note(now, self.revisions[request.adapter]);
+            self.demand[group].observe(now, self.revisions[request.adapter]);
             return self.dispatch(index, engine);
         }
         if self.is_measured(index) {
@@ -300,7 +300,7 @@
 
     fn has_capacity(&self, engine: usize) -> bool {
         let running = self.fleet.get(self.keys[engine]).map_or(0, |upstream| upstream.running);
-        limits::has_room(Importance::Normal, running, self.deployment.concurrency)
+        limits::has_capacity(Importance::Normal, running, self.deployment.concurrency)
     }
 
     fn is_full(&self, engine: usize) -> bool {
@@ -324,7 +324,7 @@
         let next = homes.into_iter().max_by(|one, other| score(one).total_cmp(&score(other)));
         let Some(next) = next else { return self.refuse(index) };
         let now = self.instant();
-        self.demand[next].note(now, self.revisions[request.adapter]);
+        self.demand[next].observe(now, self.revisions[request.adapter]);
         match self.choose_holder(next, request.adapter) {
             Some(engine) if self.has_capacity(engine) => self.dispatch(index, engine),
             Some(_) => self.refuse(index),
@@ -339,7 +339,7 @@
 
     fn expected_wait(&self, group: usize) -> f64 {
         let ahead = self.waiting.keys().filter(|(queued, _)| *queued == group).count();
-        self.load_time.wait(ahead, self.load_budget() as u32).as_secs_f64()
+        self.load_time.expected_wait(ahead, self.load_budget() as u32).as_secs_f64()
     }
 
     /// Returns the number of loads that one owner may have in transit.
@@ -362,7 +362,7 @@
         upstream.running += 1;
         if let Some(resident) = upstream.residents.get_mut(&revision) {
             resident.running += 1;
-            resident.used = now;
+            resident.last_used = now;
         }
         self.batches[engine].queue.push_back(index);
         self.batches[engine].advance(self.now);
--- a/crates/standins/src/bench/replay/loads.rs
+++ b/crates/standins/src/bench/replay/loads.rs
@@ -108,7 +108,7 @@
         });
         let Some((key, load)) = found else { return };
         let key = *key;
-        self.load_time.note(Duration::from_secs_f64(self.now - load.ordered_at));
+        self.load_time.observe(Duration::from_secs_f64(self.now - load.ordered_at));
         self.loads.remove(&key);
         let upstream = self.fleet.get_mut(self.keys[engine]).expect("the engine is listed");
         if let Some(resident) = upstream.residents.get_mut(&self.revisions[adapter]) {
--- a/crates/standins/src/world/caller.rs
+++ b/crates/standins/src/world/caller.rs
@@ -135,7 +135,7 @@
         for child in children.map(|(child, _)| *child).collect::<Vec<_>>() {
             self.parents.remove(&child);
             self.request_numbers.remove(&child);
-            self.notify_progress(child.0, child.1, Progress::Gone);
+            self.notify_progress(child.0, child.1, Progress::CallerDisconnected);
         }
     }
 
@@ -160,7 +160,7 @@
                 self.finish_request(node, request, Outcome::Broken);
                 // The connection is closed, so nothing that the core decides reaches the caller.
                 self.finished.remove(&(node, request));
-                self.notify_progress(node, request, Progress::Begun);
+                self.notify_progress(node, request, Progress::ResponseStarted);
                 self.notify_progress(node, request, Progress::Failed(Failure::Broken));
             }
             AttemptEnd::Failed(failure) => {
--- a/crates/standins/src/world/mod.rs
+++ b/crates/standins/src/world/mod.rs
@@ -292,7 +292,7 @@
         let at = self.nodes[node].listing_due.max(self.now + lag);
         self.nodes[node].listing_due = at;
         let incarnation = self.nodes[node].identity.incarnation;
-        let event = Event::Listed(list);
+        let event = Event::UpstreamsListed(list);
         self.queue.push(at, Delivery::Event { node, incarnation, event });
     }
 
@@ -390,14 +390,14 @@
         match effect {
             Effect::Send { address, message, .. } => self.send(number, address, message),
             Effect::Table { ticket, operation } => self.submit_operation(number, ticket, operation),
-            Effect::Put { ticket, key, value } => {
+            Effect::WriteObject { ticket, key, value } => {
                 if let Some((Ticket(ticket), document)) = self.current_submission.clone() {
                     let object = key.to_string();
                     self.record(Record::Submitted { ticket, object, document });
                 }
                 self.put_object(number, ticket, &key, &value);
             }
-            Effect::Get { ticket, key } => self.get_object(number, ticket, &key),
+            Effect::ReadObject { ticket, key } => self.get_object(number, ticket, &key),
             Effect::Order { ticket, upstream, address, order, fencing } => {
                 self.nodes[number].counts.orders += 1;
                 let at = self.now + self.delay(LOCAL_DELAY_US);
@@ -420,7 +420,7 @@
                 self.record(Record::OperatorAnswered { ticket: ticket.0, answer: answer.clone() });
                 self.answers.insert(ticket.0, answer);
             }
-            Effect::Decide(_) => {}
+            Effect::LogDecision(_) => {}
         }
     }
 
@@ -436,7 +436,7 @@
     /// Schedules a second delivery of an event, which may arrive after events that were sent later.
     fn maybe_duplicate(&mut self, node: usize, incarnation: u64, event: &Event) {
         // Nodes poll the list, so an older one never arrives after a newer one.
-        let is_reply = !matches!(event, Event::Listed(_));
+        let is_reply = !matches!(event, Event::UpstreamsListed(_));
         if self.duplicates > 0 && is_reply && self.random_below(100) < self.duplicates {
             let at = self.now + self.delay(DUPLICATE_DELAY_US);
             let event = event.clone();
