--- a/crates/orioleroute-node/src/callers.rs
+++ b/crates/orioleroute-node/src/callers.rs
@@ -92,7 +92,7 @@
     let target = match (request.parameter("adapter"), request.parameter("service")) {
         (Some(adapter), _) => Target::Model(adapter.into()),
         (None, Some(service)) => Target::Service(service.into()),
-        (None, None) => return bad_request("the query must name an adapter or a service"),
+        (None, None) => return bad_request("name an adapter or a service in the query"),
     };
     let region = request.parameter("region").unwrap_or(&shell.settings.region);
     let addresses: Vec<String> = shell.read(|core| {
@@ -100,7 +100,7 @@
         homes.iter().map(|home| home.caller_address.to_string()).collect()
     });
     if addresses.is_empty() {
-        let message = "no instance in that region serves it";
+        let message = "no instance of that region serves it";
         return error_response(StatusCode::NOT_FOUND, "not_found", message, Ran::NotRun);
     }
     let keep_ms = shell.settings.route_life.as_millis() as u64;
@@ -152,17 +152,11 @@
 
 fn spec_of(request: &Request, target: Target) -> Result<Spec, String> {
     let importance = match request.header("x-importance") {
-        Some(text) => Some(
-            text.parse()
-                .map_err(|_| format!("x-importance is {text:?}, expected low, normal or high"))?,
-        ),
+        Some(text) => Some(text.parse().map_err(|_| format!("x-importance is {text:?}"))?),
         None => None,
     };
     let timeout = match request.header("x-deadline-ms") {
-        Some(text) => Some(
-            text.parse()
-                .map_err(|_| format!("x-deadline-ms is {text:?}, expected milliseconds"))?,
-        ),
+        Some(text) => Some(text.parse().map_err(|_| format!("x-deadline-ms is {text:?}"))?),
         None => None,
     };
     let queue_timeout = request.header(QUEUE_TIMEOUT).and_then(|text| text.parse().ok());
@@ -199,12 +193,10 @@
 pub fn refusal_response(refusal: &Refusal) -> Response {
     let (status, message) = match refusal.kind {
         Kind::NotFound => (StatusCode::NOT_FOUND, "no such adapter, version or service"),
-        Kind::Overloaded => (StatusCode::TOO_MANY_REQUESTS, "too many requests are waiting"),
-        Kind::Unavailable => {
-            (StatusCode::SERVICE_UNAVAILABLE, "no instance or upstream is available")
-        }
+        Kind::Overloaded => (StatusCode::TOO_MANY_REQUESTS, "too many requests wait"),
+        Kind::Unavailable => (StatusCode::SERVICE_UNAVAILABLE, "nothing can answer now"),
         Kind::Deadline => (StatusCode::GATEWAY_TIMEOUT, "the deadline cannot be met"),
-        Kind::Conflict => (StatusCode::CONFLICT, "the idempotency key was already used"),
+        Kind::Conflict => (StatusCode::CONFLICT, "the idempotency key was used before"),
         Kind::Upstream => (StatusCode::BAD_GATEWAY, "the upstream failed"),
     };
     let response = error_response(status, &refusal.kind.to_string(), message, refusal.ran);
@@ -219,8 +211,7 @@
 /// The blank line before it terminates an event that arrived only in part.
 pub fn error_event() -> Bytes {
     let kind = Kind::Upstream.to_string();
-    let body =
-        error_body(StatusCode::BAD_GATEWAY, &kind, "the stream was interrupted", Ran::MayHaveRun);
+    let body = error_body(StatusCode::BAD_GATEWAY, &kind, "the stream broke off", Ran::MayHaveRun);
     format!("\n\ndata: {body}\n\n").into()
 }
 
