--- a/crates/orioleroute-node/src/callers.rs
+++ b/crates/orioleroute-node/src/callers.rs
@@ -44,12 +44,12 @@
     let log = shell.log.clone();
     let settings = &shell.settings;
     let limits = Limits {
-        body_bytes: settings.body_bytes,
-        head_bytes: settings.head_bytes,
-        idle: settings.idle,
-        head_time: settings.head_time,
-        body_time: settings.body_time,
-        write_time: settings.write_time,
+        max_body_bytes: settings.body_bytes,
+        max_head_bytes: settings.head_bytes,
+        idle_timeout: settings.idle,
+        head_timeout: settings.head_time,
+        body_timeout: settings.body_time,
+        write_timeout: settings.write_time,
         token: None,
     };
     let connections = settings.connections;
@@ -89,12 +89,12 @@
 
 /// Responds with the instances to use for an adapter or service, in order of preference.
 fn route(shell: &Rc<Shell>, request: &Request) -> Response {
-    let target = match (request.parameter("adapter"), request.parameter("service")) {
+    let target = match (request.query_parameter("adapter"), request.query_parameter("service")) {
         (Some(adapter), _) => Target::Model(adapter.into()),
         (None, Some(service)) => Target::Service(service.into()),
         (None, None) => return bad_request("name an adapter or a service in the query"),
     };
-    let region = request.parameter("region").unwrap_or(&shell.settings.region);
+    let region = request.query_parameter("region").unwrap_or(&shell.settings.region);
     let addresses: Vec<String> = shell.read(|core| {
         let homes = core.homes(region, &target);
         homes.iter().map(|home| home.caller_address.to_string()).collect()
@@ -175,12 +175,12 @@
 /// Returns the response to a faulty request, in the error format of the API.
 fn fault_response(fault: &Fault) -> Response {
     let kind = match fault {
-        Fault::Busy => "overloaded",
+        Fault::TooManyConnections => "overloaded",
         _ => "invalid_request_error",
     };
     let response = error_response(fault.status(), kind, &fault.to_string(), Ran::NotRun);
     match fault {
-        Fault::Busy => response.with("retry-after", BUSY_RETRY_S),
+        Fault::TooManyConnections => response.with_header("retry-after", BUSY_RETRY_S),
         _ => response,
     }
 }
@@ -201,7 +201,7 @@
     };
     let response = error_response(status, &refusal.kind.to_string(), message, refusal.ran);
     match refusal.retry_after {
-        Some(wait) => response.with("retry-after", wait.as_secs().max(1).to_string()),
+        Some(wait) => response.with_header("retry-after", wait.as_secs().max(1).to_string()),
         None => response,
     }
 }
@@ -216,7 +216,8 @@
 }
 
 fn error_response(status: StatusCode, kind: &str, message: &str, ran: Ran) -> Response {
-    Response::json(status, &error_body(status, kind, message, ran)).with(RAN, ran.to_string())
+    Response::json(status, &error_body(status, kind, message, ran))
+        .with_header(RAN, ran.to_string())
 }
 
 fn error_body(status: StatusCode, kind: &str, message: &str, ran: Ran) -> Value {
--- a/crates/orioleroute-node/src/gateway/endpoints.rs
+++ b/crates/orioleroute-node/src/gateway/endpoints.rs
@@ -39,7 +39,7 @@
             return (StatusCode::NOT_FOUND, Vec::new());
         }
         let own = gateway.settings().region.clone();
-        let addresses = gateway.addresses(request.parameter("region").unwrap_or(&own));
+        let addresses = gateway.addresses(request.query_parameter("region").unwrap_or(&own));
         if addresses.is_empty() {
             return (StatusCode::SERVICE_UNAVAILABLE, Vec::new());
         }
--- a/crates/orioleroute-node/src/gateway/exchange.rs
+++ b/crates/orioleroute-node/src/gateway/exchange.rs
@@ -171,7 +171,7 @@
                 Err(error) => return Err(Failure::Broken(error.to_string())),
             }
             match self.socket.fill().await {
-                Ok(0) if self.decoder.end() => return Ok(None),
+                Ok(0) if self.decoder.finish() => return Ok(None),
                 Ok(0) => return Err(Failure::Broken("closed within the body".into())),
                 Ok(_) => {}
                 Err(error) => return Err(Failure::Broken(error.to_string())),
--- a/crates/orioleroute-node/src/operators.rs
+++ b/crates/orioleroute-node/src/operators.rs
@@ -25,7 +25,7 @@
 pub async fn run(shell: Rc<Shell>, listener: TcpListener, metrics: PrometheusHandle) {
     let log = shell.log.clone();
     let token = Some(shell.settings.operator_token.as_str().into());
-    let limits = Limits { body_bytes: 64 << 20, token, ..Limits::default() };
+    let limits = Limits { max_body_bytes: 64 << 20, token, ..Limits::default() };
     let served = serve(
         listener,
         limits,
@@ -67,7 +67,7 @@
 }
 
 async fn command(shell: &Rc<Shell>, request: &Request) -> Response {
-    if !request.shows(&shell.settings.operator_token) {
+    if !request.has_bearer_token(&shell.settings.operator_token) {
         let body = json!({ "error": "the operator token is missing or wrong" });
         return Response::json(StatusCode::UNAUTHORIZED, &body);
     }
--- a/crates/orioleroute-node/src/peers.rs
+++ b/crates/orioleroute-node/src/peers.rs
@@ -26,7 +26,7 @@
 pub async fn run(shell: Rc<Shell>, listener: TcpListener) {
     let log = shell.log.clone();
     let token = Some(shell.settings.peer_token.as_str().into());
-    let limits = Limits { body_bytes: 64 << 20, token, ..Limits::default() };
+    let limits = Limits { max_body_bytes: 64 << 20, token, ..Limits::default() };
     let served = serve(listener, limits, MAX_CONNECTIONS, crate::operators::fault_response, {
         async move |connection, request| connection.respond(handle(&shell, &request)).await
     });
@@ -39,16 +39,16 @@
     if request.method != Method::POST || request.path != rpc::PATH {
         return Response::empty(StatusCode::NOT_FOUND);
     }
-    if !request.shows(&shell.settings.peer_token) {
+    if !request.has_bearer_token(&shell.settings.peer_token) {
         return Response::empty(StatusCode::UNAUTHORIZED);
     }
-    let sender = request.header(rpc::SENDER);
+    let sender = request.header(rpc::SENDER_HEADER);
     match (sender, rpc::decode::<Message>(&request.body)) {
         (Some(from), Ok(message)) => {
             shell.handle(Event::Message { from: from.into(), message });
             Response::empty(StatusCode::NO_CONTENT)
         }
-        (None, _) => bad_request(&format!("the header field {} is missing", rpc::SENDER)),
+        (None, _) => bad_request(&format!("the header field {} is missing", rpc::SENDER_HEADER)),
         (_, Err(error)) => bad_request(&error.to_string()),
     }
 }
--- a/crates/orioleroute-node/src/relay.rs
+++ b/crates/orioleroute-node/src/relay.rs
@@ -165,7 +165,7 @@
         }
     }
     let media = request.header("content-type").unwrap_or("application/json");
-    call.header("content-type", media).payload(body)
+    call.header("content-type", media).raw_body(body)
 }
 
 fn call_instance(request: &Request, may_have_run: bool) -> Call {
@@ -178,7 +178,7 @@
     if may_have_run {
         call = call.header(callers::MAY_HAVE_RUN, "1");
     }
-    call.payload(request.body.clone())
+    call.raw_body(request.body.clone())
 }
 
 fn path_of(request: &Request) -> String {
@@ -316,8 +316,8 @@
             }
             None if !response_started => return Ok(Attempt::Failed(Failure::Broken)),
             None => {
-                connection.chunk(&events.finish()).await?;
-                connection.finish().await?;
+                connection.write_chunk(&events.finish()).await?;
+                connection.finish_response().await?;
                 return Ok(Attempt::Finished);
             }
         };
@@ -333,9 +333,9 @@
         }
         checked = true;
         if !response_started {
-            connection.begin(incoming.status, &headers).await?;
+            connection.start_response(incoming.status, &headers).await?;
         }
-        connection.chunk(&complete).await?;
+        connection.write_chunk(&complete).await?;
         if !response_started {
             response_started = true;
             guard.shell.handle(Event::Progress {
@@ -348,8 +348,8 @@
 
 /// Ends a caller's stream with an error event.
 async fn end_with_error(connection: &mut Connection) -> Result<Attempt, Error> {
-    connection.chunk(&callers::error_event()).await?;
-    connection.finish().await?;
+    connection.write_chunk(&callers::error_event()).await?;
+    connection.finish_response().await?;
     Ok(Attempt::Interrupted)
 }
 
--- a/crates/orioleroute-wire/src/client.rs
+++ b/crates/orioleroute-wire/src/client.rs
@@ -79,7 +79,7 @@
 
     /// Sets the body without a media type.
     #[must_use]
-    pub fn payload(mut self, body: impl Into<Bytes>) -> Self {
+    pub fn raw_body(mut self, body: impl Into<Bytes>) -> Self {
         self.body = body.into();
         self
     }
--- a/crates/orioleroute-wire/src/http1/body.rs
+++ b/crates/orioleroute-wire/src/http1/body.rs
@@ -90,7 +90,7 @@
     }
 
     /// Handles an orderly end of the connection and returns whether the body is complete.
-    pub fn end(&mut self) -> bool {
+    pub fn finish(&mut self) -> bool {
         if self.0 == State::UntilClose {
             self.0 = State::Done;
         }
--- a/crates/orioleroute-wire/src/http1/head.rs
+++ b/crates/orioleroute-wire/src/http1/head.rs
@@ -62,7 +62,7 @@
     }
 
     /// Returns the first value of a query parameter, without percent decoding.
-    pub fn parameter(&self, name: &str) -> Option<&str> {
+    pub fn query_parameter(&self, name: &str) -> Option<&str> {
         let query = self.target.split_once('?')?.1;
         let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
--- a/crates/orioleroute-wire/src/rpc.rs
+++ b/crates/orioleroute-wire/src/rpc.rs
@@ -18,7 +18,7 @@
 pub const PATH: &str = "/rpc";
 
 /// The header field with the name of the sending instance.
-pub const SENDER: &str = "x-orioleroute-sender";
+pub const SENDER_HEADER: &str = "x-orioleroute-sender";
 
 /// A message as `{"method": ..., "params": ...}`, the serialized form of an adjacently tagged enum.
 #[derive(Serialize, Deserialize)]
@@ -67,7 +67,7 @@
     let body = encode(message).map_err(|error| Error::new(Step::Decode, peer, error))?;
     let call = Call::new(Method::POST, PATH)
         .header("authorization", format!("Bearer {token}"))
-        .header(SENDER, sender)
+        .header(SENDER_HEADER, sender)
         .body("application/json", body);
     let response = pool.call_within(peer, call, limit).await?;
     if response.status.is_success() {
--- a/crates/orioleroute-wire/src/server.rs
+++ b/crates/orioleroute-wire/src/server.rs
@@ -26,17 +26,17 @@
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// The maximum size of a head, in bytes. A head may exceed it by up to one read.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// The maximum size of a body, in bytes.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// The time limit for the first byte of a request on an open connection.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// The time limit from the first byte of a head to its end.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// The time limit for reading a complete body.
-    pub body_time: Duration,
+    pub body_timeout: Duration,
     /// The time limit for writing one part of a response to the peer.
-    pub write_time: Duration,
+    pub write_timeout: Duration,
     /// The bearer token that every request requires, if set, except GET requests, which usually have no
     /// body.
     ///
@@ -48,12 +48,12 @@
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            head_bytes: 32 << 10,
-            body_bytes: 4 << 20,
-            idle: Duration::from_secs(120),
-            head_time: Duration::from_secs(10),
-            body_time: Duration::from_secs(10),
-            write_time: Duration::from_secs(30),
+            max_head_bytes: 32 << 10,
+            max_body_bytes: 4 << 20,
+            idle_timeout: Duration::from_secs(120),
+            head_timeout: Duration::from_secs(10),
+            body_timeout: Duration::from_secs(10),
+            write_timeout: Duration::from_secs(30),
             token: None,
         }
     }
@@ -81,7 +81,7 @@
     }
 
     /// Returns the first value of a query parameter, without percent decoding.
-    pub fn parameter(&self, name: &str) -> Option<&str> {
+    pub fn query_parameter(&self, name: &str) -> Option<&str> {
         self.query
             .split('&')
             .filter_map(|pair| pair.split_once('='))
@@ -90,7 +90,7 @@
     }
 
     /// Returns whether the request carries `token` as its bearer token.
-    pub fn shows(&self, token: &str) -> bool {
+    pub fn has_bearer_token(&self, token: &str) -> bool {
         has_bearer_token(&self.headers, token)
     }
 }
@@ -132,7 +132,7 @@
 
     /// Sets a header field; an invalid value is ignored.
     #[must_use]
-    pub fn with(mut self, name: &'static str, value: impl AsRef<str>) -> Self {
+    pub fn with_header(mut self, name: &'static str, value: impl AsRef<str>) -> Self {
         if let Ok(value) = HeaderValue::from_str(value.as_ref()) {
             self.headers.insert(name, value);
         }
@@ -148,19 +148,19 @@
     Malformed(String),
     /// The body is larger than the limit, in bytes.
     #[error("the body is larger than {0} bytes")]
-    TooLarge(usize),
+    BodyTooLarge(usize),
     /// The head is larger than the limit, in bytes.
     #[error("the head is larger than {0} bytes")]
     HeadTooLarge(usize),
     /// The request did not arrive in time.
     #[error("the request did not arrive in time")]
-    Slow,
+    TimedOut,
     /// The bearer token is missing or wrong.
     #[error("the token is missing or wrong")]
     Unauthorized,
     /// The limit of open connections is reached.
     #[error("too many connections are open")]
-    Busy,
+    TooManyConnections,
 }
 
 impl Fault {
@@ -168,11 +168,11 @@
     pub fn status(&self) -> StatusCode {
         match self {
             Self::Malformed(_) => StatusCode::BAD_REQUEST,
-            Self::TooLarge(_) => StatusCode::PAYLOAD_TOO_LARGE,
+            Self::BodyTooLarge(_) => StatusCode::PAYLOAD_TOO_LARGE,
             Self::HeadTooLarge(_) => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
             Self::Unauthorized => StatusCode::UNAUTHORIZED,
-            Self::Slow => StatusCode::REQUEST_TIMEOUT,
-            Self::Busy => StatusCode::SERVICE_UNAVAILABLE,
+            Self::TimedOut => StatusCode::REQUEST_TIMEOUT,
+            Self::TooManyConnections => StatusCode::SERVICE_UNAVAILABLE,
         }
     }
 }
@@ -220,13 +220,14 @@
 
     async fn read_head(&mut self) -> Option<Result<http::Request<Payload>, Fault>> {
         let limits = &self.limits;
-        self.input.set_limit(limits.head_bytes);
+        self.input.set_limit(limits.max_head_bytes);
         let timeout = async {
-            if monoio::time::timeout(limits.idle, self.input.wait_for_data()).await.is_err() {
+            if monoio::time::timeout(limits.idle_timeout, self.input.wait_for_data()).await.is_err()
+            {
                 return None;
             }
-            monoio::time::sleep(limits.head_time).await;
-            Some(Err(Fault::Slow))
+            monoio::time::sleep(limits.head_timeout).await;
+            Some(Err(Fault::TimedOut))
         };
         let next = monoio::select! {
             next = self.decoder.next() => next?,
@@ -235,7 +236,7 @@
         match next {
             Ok(request) => Some(Ok(request)),
             Err(_) if self.input.is_limit_exceeded() => {
-                Some(Err(Fault::HeadTooLarge(limits.head_bytes)))
+                Some(Err(Fault::HeadTooLarge(limits.max_head_bytes)))
             }
             Err(error) => to_fault(error).map(Err),
         }
@@ -243,7 +244,7 @@
 
     async fn read_body(&mut self, request: http::Request<Payload>) -> Result<Request, Fault> {
         let (head, payload) = request.into_parts();
-        let limit = self.limits.body_bytes;
+        let limit = self.limits.max_body_bytes;
         self.closing = requests_close(&head);
         if let Some(token) = &self.limits.token
             && head.method != Method::GET
@@ -252,7 +253,7 @@
             return Err(Fault::Unauthorized);
         }
         if declared_length(&head.headers)? > limit {
-            return Err(Fault::TooLarge(limit));
+            return Err(Fault::BodyTooLarge(limit));
         }
         self.input.set_limit(limit.saturating_mul(2).saturating_add(CHUNK_FRAMING_BYTES));
         let read = read_payload(payload, limit);
@@ -263,9 +264,9 @@
             filled.map_err(|error| Fault::Malformed(error.to_string()))?;
             Ok(body)
         };
-        let body = match monoio::time::timeout(self.limits.body_time, both).await {
-            Err(_) => return Err(Fault::Slow),
-            Ok(Err(_)) if self.input.is_limit_exceeded() => return Err(Fault::TooLarge(limit)),
+        let body = match monoio::time::timeout(self.limits.body_timeout, both).await {
+            Err(_) => return Err(Fault::TimedOut),
+            Ok(Err(_)) if self.input.is_limit_exceeded() => return Err(Fault::BodyTooLarge(limit)),
             Ok(body) => body?,
         };
         Ok(Request {
@@ -294,19 +295,23 @@
             encoder.send(message).await?;
             Sink::<http::Response<HttpBody>>::flush(&mut encoder).await
         };
-        match monoio::time::timeout(self.limits.write_time, sent).await {
+        match monoio::time::timeout(self.limits.write_timeout, sent).await {
             Ok(sent) => sent.map_err(|error: HttpError| Error::new(Step::Send, self.peer, error)),
             Err(_) => Err(Error::new(Step::Send, self.peer, "timed out writing to the peer")),
         }
     }
 
-    /// Writes the head of a streamed response. [`Connection::chunk`] and [`Connection::finish`] write
-    /// its body.
+    /// Writes the head of a streamed response. [`Connection::write_chunk`] and
+    /// [`Connection::finish_response`] write its body.
     ///
     /// # Errors
     ///
     /// Fails at [`Step::Send`] if the connection is lost or the write times out.
-    pub async fn begin(&mut self, status: StatusCode, headers: &HeaderMap) -> Result<(), Error> {
+    pub async fn start_response(
+        &mut self,
+        status: StatusCode,
+        headers: &HeaderMap,
+    ) -> Result<(), Error> {
         let reason = status.canonical_reason().unwrap_or("Unknown");
         let mut head = format!("HTTP/1.1 {} {reason}\r\n", status.as_u16()).into_bytes();
         for (name, value) in headers {
@@ -328,7 +333,7 @@
     /// # Errors
     ///
     /// Fails at [`Step::Send`] if the connection is lost or the write times out.
-    pub async fn chunk(&mut self, data: &[u8]) -> Result<(), Error> {
+    pub async fn write_chunk(&mut self, data: &[u8]) -> Result<(), Error> {
         if data.is_empty() {
             return Ok(());
         }
@@ -347,7 +352,7 @@
     /// # Errors
     ///
     /// Fails at [`Step::Send`] if the connection is lost or the write times out.
-    pub async fn finish(&mut self) -> Result<(), Error> {
+    pub async fn finish_response(&mut self) -> Result<(), Error> {
         self.write(b"0\r\n\r\n".to_vec()).await.map(|_| ())
     }
 
@@ -356,7 +361,7 @@
     /// Input received in the meantime is kept for [`Connection::next`], up to about the size limit of a
     /// head. Beyond that, the future never completes.
     pub async fn closed(&mut self) {
-        self.input.wait_for_close(self.limits.head_bytes).await;
+        self.input.wait_for_close(self.limits.max_head_bytes).await;
     }
 
     /// Writes an error response and closes the connection in a way that lets the response arrive.
@@ -373,7 +378,7 @@
     /// Writes `bytes` and returns the buffer for reuse.
     async fn write(&mut self, bytes: Vec<u8>) -> Result<Vec<u8>, Error> {
         let written = self.writer.write_all(bytes);
-        match monoio::time::timeout(self.limits.write_time, written).await {
+        match monoio::time::timeout(self.limits.write_timeout, written).await {
             Ok((Ok(_), buffer)) => Ok(buffer),
             Ok((Err(error), _)) => Err(Error::new(Step::Send, self.peer, error)),
             Err(_) => Err(Error::new(Step::Send, self.peer, "timed out writing to the peer")),
@@ -384,7 +389,8 @@
 /// Serves every connection of `listener` with `handler` until the future is dropped.
 ///
 /// At most `max_connections` are open at a time. A connection beyond that is rejected with
-/// [`Fault::Busy`]. `explain` converts a fault to a response; the connection is closed after it.
+/// [`Fault::TooManyConnections`]. `explain` converts a fault to a response; the connection is closed
+/// after it.
 ///
 /// # Errors
 ///
@@ -410,7 +416,7 @@
                 rejecting.set(rejecting.get() + 1);
                 let rejecting = rejecting.clone();
                 monoio::spawn(async move {
-                    connection.reject(explain(&Fault::Busy)).await;
+                    connection.reject(explain(&Fault::TooManyConnections)).await;
                     rejecting.set(rejecting.get() - 1);
                 });
             }
@@ -487,7 +493,7 @@
     while let Some(part) = payload.next_data().await {
         let part = part.map_err(|error| Fault::Malformed(error.to_string()))?;
         if body.len() + part.len() > limit {
-            return Err(Fault::TooLarge(limit));
+            return Err(Fault::BodyTooLarge(limit));
         }
         body.extend_from_slice(&part);
     }
--- a/crates/orioleroute-wire/tests/connection.rs
+++ b/crates/orioleroute-wire/tests/connection.rs
@@ -34,9 +34,9 @@
 
 async fn handle(connection: &mut Connection, request: Request) -> Result<(), Error> {
     if request.path == "/endless" {
-        connection.begin(StatusCode::OK, &HeaderMap::new()).await?;
+        connection.start_response(StatusCode::OK, &HeaderMap::new()).await?;
         loop {
-            connection.chunk(&CHUNK).await?;
+            connection.write_chunk(&CHUNK).await?;
         }
     }
     if request.path == "/slow" {
@@ -76,7 +76,7 @@
 /// The write must time out, and other connections must be served in the meantime.
 #[test]
 fn a_peer_that_does_not_read_is_disconnected_and_blocks_no_other() {
-    let limits = || Limits { write_time: Duration::from_millis(300), ..Limits::default() };
+    let limits = || Limits { write_timeout: Duration::from_millis(300), ..Limits::default() };
     let address = start_server(limits);
     let mut endless = connect(address);
     endless.write_all(b"GET /endless HTTP/1.1\r\nhost: a\r\n\r\n").expect("the server reads");
--- a/crates/orioleroute-wire/tests/http1.rs
+++ b/crates/orioleroute-wire/tests/http1.rs
@@ -125,7 +125,7 @@
 
     assert_eq!(data, Some(Bytes::from("abc")));
     assert!(!decoder.is_done());
-    assert!(decoder.end());
+    assert!(decoder.finish());
 }
 
 #[test]
@@ -133,7 +133,7 @@
     let mut decoder = Decoder::new(Framing::Length(4));
     decoder.decode(&mut BytesMut::from("abc")).unwrap();
 
-    assert!(!decoder.end());
+    assert!(!decoder.finish());
 }
 
 #[test]
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -315,7 +315,7 @@
     };
     headers.insert("x-stream-id", HeaderValue::from(stream));
     headers.insert("x-resumed-after", HeaderValue::from(first));
-    connection.begin(StatusCode::OK, &headers).await?;
+    connection.start_response(StatusCode::OK, &headers).await?;
     for index in first..tokens {
         if break_after > 0 && index - first >= break_after {
             return Err(Error::new(
@@ -333,11 +333,11 @@
         let last = index + 1 == tokens;
         let event =
             format!("data: {}\n\n", completion_chunk(&name, &token_text(index), last, chat));
-        connection.chunk(event.as_bytes()).await?;
+        connection.write_chunk(event.as_bytes()).await?;
     }
-    connection.chunk(b"data: [DONE]\n\n").await?;
+    connection.write_chunk(b"data: [DONE]\n\n").await?;
     drop(running);
-    connection.finish().await
+    connection.finish_response().await
 }
 
 fn token_text(index: u32) -> String {
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -45,7 +45,7 @@
     H: AsyncFn(&Rc<RefCell<S>>, &mut Connection, Request) -> Result<(), Error> + 'static,
 {
     let state = Rc::new(RefCell::new(state));
-    let limits = Limits { body_bytes: MAX_BODY_BYTES, ..Limits::default() };
+    let limits = Limits { max_body_bytes: MAX_BODY_BYTES, ..Limits::default() };
     server::serve(listener, limits, MAX_CONNECTIONS, explain, async move |connection, request| {
         handler(&state, connection, request).await
     })
