--- a/crates/orioleroute-node/src/gateway/settings.rs
+++ b/crates/orioleroute-node/src/gateway/settings.rs
@@ -94,8 +94,8 @@
         };
         let settings = Self::from_source(&mut source);
         match settings {
-            _ if !source.faults.is_empty() => Outcome::Fail(source.faults.join("\n")),
-            _ if source.asks_to_print() => Outcome::Print(source.print()),
+            _ if !source.errors.is_empty() => Outcome::Fail(source.errors.join("\n")),
+            _ if source.print_requested() => Outcome::Print(source.print()),
             Some(settings) => Outcome::Run(Box::new(settings)),
             None => Outcome::Fail("orioleroute-node: the settings are incomplete".into()),
         }
--- a/crates/orioleroute-node/src/settings.rs
+++ b/crates/orioleroute-node/src/settings.rs
@@ -128,10 +128,10 @@
             Err(outcome) => return outcome,
         };
         let settings = source.settings();
-        if !source.faults.is_empty() {
-            return Outcome::Fail(source.faults.join("\n"));
+        if !source.errors.is_empty() {
+            return Outcome::Fail(source.errors.join("\n"));
         }
-        if source.asks_to_print() {
+        if source.print_requested() {
             return Outcome::Print(source.print());
         }
         match settings {
@@ -175,7 +175,7 @@
     /// The names and values from the file that the setting `config` names.
     file_values: Vec<(String, String)>,
     /// The error messages so far, one for each wrong or missing value.
-    pub faults: Vec<String>,
+    pub errors: Vec<String>,
 }
 
 impl Source {
@@ -201,7 +201,7 @@
         if let Some(extra) = matches.free.first() {
             return fail(format!("unexpected argument {extra:?}"));
         }
-        let mut source = Self { settings, matches, file_values: Vec::new(), faults: Vec::new() };
+        let mut source = Self { settings, matches, file_values: Vec::new(), errors: Vec::new() };
         let config = settings.iter().find(|setting| setting.flag == "config");
         if let Some(path) = config.and_then(|config| source.text(config)) {
             match std::fs::read_to_string(&path) {
@@ -213,7 +213,7 @@
     }
 
     /// Returns whether the flag `--print-settings` is given.
-    pub fn asks_to_print(&self) -> bool {
+    pub fn print_requested(&self) -> bool {
         self.matches.opt_present("print-settings")
     }
 
@@ -229,11 +229,11 @@
                 Some((name, value)) => {
                     let name = name.trim();
                     if !self.settings.iter().any(|setting| setting.flag == name) {
-                        self.faults.push(format!("{location}: unknown setting {name:?}"));
+                        self.errors.push(format!("{location}: unknown setting {name:?}"));
                     }
                     self.file_values.push((name.to_owned(), value.trim().to_owned()));
                 }
-                None => self.faults.push(format!("{location}: expected NAME = VALUE")),
+                None => self.errors.push(format!("{location}: expected NAME = VALUE")),
             }
         }
     }
@@ -303,7 +303,7 @@
         let setting = self.settings.iter().find(|setting| setting.flag == flag)?;
         let variable = variable_name(flag);
         let Some(text) = self.text(setting) else {
-            self.faults.push(format!(
+            self.errors.push(format!(
                 "orioleroute-node: --{flag} or {variable} is missing: {}",
                 setting.help
             ));
@@ -312,7 +312,7 @@
         let value = if is_empty_or_zero(&text) { None } else { text.parse().ok() };
         if value.is_none() {
             let hint = setting.hint;
-            self.faults.push(format!(
+            self.errors.push(format!(
                 "orioleroute-node: --{flag} or {variable} is {text:?}, expected {hint}, neither empty nor 0"
             ));
         }
--- a/crates/orioleroute-node/tests/faults.rs
+++ b/crates/orioleroute-node/tests/faults.rs
@@ -21,7 +21,7 @@
 const IMMEDIATE: Duration = Duration::from_millis(500);
 
 #[test]
-fn a_killed_node_is_succeeded_and_its_streams_are_told() {
+fn a_killed_node_is_replaced_and_its_streams_report_an_error() {
     let mut system = System::start(3);
     let home = system.home(0, "milk");
     let others: Vec<usize> = (0..3).filter(|index| *index != home).collect();
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_frozen_owner_wakes_without_harm() {
+fn a_paused_owner_resumes_without_harm() {
     let system = System::start(3);
     let home = system.home(0, "milk");
     let other = (home + 1) % 3;
@@ -187,7 +187,7 @@
 #[rstest]
 #[case::again_and_again(engine::Faults { break_after: 5, ..Default::default() })]
 #[case::and_cannot_resume(engine::Faults { break_after: 5, no_resume: true, ..Default::default() })]
-fn an_engine_that_breaks_off_is_told_of(#[case] faults: engine::Faults) {
+fn an_interrupted_stream_ends_with_an_error(#[case] faults: engine::Faults) {
     let mut system = System::start(2);
     let home = system.home(0, "milk");
     for engine in &system.engines {
