--- a/crates/orioleroute/tests/abandoned_requests.rs
+++ b/crates/orioleroute/tests/abandoned_requests.rs
@@ -4,11 +4,11 @@
 
 use std::time::Duration;
 
-use common::{ONE_REGION, Shape, request, world};
-use standins::world::check::Promise;
+use common::{ONE_REGION, Topology, request, world};
+use standins::world::check::Invariant;
 
 /// One engine with one slot, so that a request for another revision needs the slot at once.
-const ONE_SLOT: Shape = Shape { nodes: 1, engines: 1, slots: 1, ..ONE_REGION };
+const ONE_SLOT: Topology = Topology { nodes: 1, engines: 1, slots: 1, ..ONE_REGION };
 
 const SEEDS: u64 = 50;
 
@@ -24,9 +24,11 @@
         world.ask(0, request(1, Duration::from_secs(8)));
         world.run(Duration::from_secs(10));
 
-        let breaches = world.checker.breaches().iter();
-        let evicted: Vec<_> =
-            breaches.filter(|breach| breach.promise == Promise::InUse).cloned().collect();
+        let violations = world.checker.violations().iter();
+        let evicted: Vec<_> = violations
+            .filter(|violation| violation.invariant == Invariant::NoEvictionInUse)
+            .cloned()
+            .collect();
         assert_eq!(evicted, [], "seed {seed}");
     }
 }
--- a/crates/orioleroute/tests/claims.rs
+++ b/crates/orioleroute/tests/claims.rs
@@ -52,11 +52,11 @@
 }
 
 fn runs(world: &World) -> usize {
-    world.records.iter().filter(|(_, record)| matches!(record, Record::Began { .. })).count()
+    world.records.iter().filter(|(_, record)| matches!(record, Record::RunStarted { .. })).count()
 }
 
-fn is_whole(outcome: Option<&Outcome>) -> bool {
-    matches!(outcome, Some(Outcome::Whole(_)))
+fn is_complete(outcome: Option<&Outcome>) -> bool {
+    matches!(outcome, Some(Outcome::Complete(_)))
 }
 
 fn refusal(outcome: Option<&Outcome>) -> Option<(Kind, Ran)> {
@@ -75,7 +75,7 @@
         (0..300).map(|index| book(&mut world, 0, Some(&format!("seat-{index}")))).collect();
     world.run(Duration::from_secs(3));
 
-    assert!(numbers.iter().all(|number| is_whole(world.outcome(*number))));
+    assert!(numbers.iter().all(|number| is_complete(world.outcome(*number))));
     let writes = world.nodes[0].counts.writes - before;
     // 300 claims and the ends of 300 claims are 600 rows.
     assert!(writes <= 12, "{writes} writes");
@@ -95,7 +95,7 @@
         let outcome = world.outcome(number);
         match index {
             3 => assert_eq!(refusal(outcome), Some((Kind::Conflict, Ran::Ran))),
-            _ => assert!(is_whole(outcome), "{index}: {outcome:?}"),
+            _ => assert!(is_complete(outcome), "{index}: {outcome:?}"),
         }
     }
 }
@@ -129,12 +129,12 @@
     world.run(SETTLED);
 
     assert_eq!(refusal(world.outcome(first)).map(|(_, ran)| ran), Some(Ran::NotRun));
-    assert!(is_whole(world.outcome(retry)), "{:?}", world.outcome(retry));
+    assert!(is_complete(world.outcome(retry)), "{:?}", world.outcome(retry));
 }
 
 #[rstest]
 #[case::reply_lost(Faults { replies_lost: true, ..Faults::default() })]
-#[case::written_late(Faults { writes_late: Some(Duration::from_secs(6)), ..Faults::default() })]
+#[case::written_late(Faults { write_delay: Some(Duration::from_secs(6)), ..Faults::default() })]
 #[case::table_down(Faults { table_down: true, ..Faults::default() })]
 fn a_claim_of_unknown_outcome_does_not_block_a_later_attempt(#[case] faults: Faults) {
     let mut world = world(5);
@@ -148,7 +148,7 @@
     world.run(SETTLED);
 
     assert_eq!(refusal(world.outcome(first)).map(|(_, ran)| ran), Some(Ran::NotRun));
-    assert!(is_whole(world.outcome(retry)), "{:?}", world.outcome(retry));
+    assert!(is_complete(world.outcome(retry)), "{:?}", world.outcome(retry));
     assert_eq!(runs(&world), 1);
 }
 
@@ -178,11 +178,11 @@
 /// A step of a generated history.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Book { node: usize, key: usize },
+    CallService { node: usize, key: usize },
     Kill(usize),
     Start(usize),
-    Freeze(usize),
-    Wake(usize),
+    Pause(usize),
+    Resume(usize),
     TableDown,
     RepliesLost,
     WritesLate(u64),
@@ -198,11 +198,11 @@
 fn step() -> impl Strategy<Value = Step> {
     let node = 0..NODES;
     prop_oneof![
-        12 => (node.clone(), 0..KEYS).prop_map(|(node, key)| Step::Book { node, key }),
+        12 => (node.clone(), 0..KEYS).prop_map(|(node, key)| Step::CallService { node, key }),
         1 => node.clone().prop_map(Step::Kill),
         1 => node.clone().prop_map(Step::Start),
-        1 => node.clone().prop_map(Step::Freeze),
-        1 => node.prop_map(Step::Wake),
+        1 => node.clone().prop_map(Step::Pause),
+        1 => node.prop_map(Step::Resume),
         1 => Just(Step::TableDown),
         1 => Just(Step::RepliesLost),
         1 => (1..5_000_u64).prop_map(Step::WritesLate),
@@ -215,18 +215,18 @@
 
 fn apply(world: &mut World, step: Step) {
     match step {
-        Step::Book { node, key } => {
+        Step::CallService { node, key } => {
             book(world, node, Some(&format!("seat-{key}")));
         }
         Step::Kill(node) => world.kill(node),
         Step::Start(node) if world.nodes[node].core.is_none() => world.start(node),
         Step::Start(_) => {}
-        Step::Freeze(node) => world.freeze(node),
-        Step::Wake(node) => world.wake(node),
+        Step::Pause(node) => world.pause(node),
+        Step::Resume(node) => world.resume(node),
         Step::TableDown => world.platform.faults.table_down = true,
         Step::RepliesLost => world.platform.faults.replies_lost = true,
         Step::WritesLate(millis) => {
-            world.platform.faults.writes_late = Some(Duration::from_millis(millis));
+            world.platform.faults.write_delay = Some(Duration::from_millis(millis));
         }
         Step::ServiceDown(down) => world.engines[0].faults.down = down,
         Step::AnswersLost(lost) => world.engines[0].faults.answers_lost = lost,
@@ -240,7 +240,7 @@
     world.heal();
     world.engines[0].faults = Default::default();
     for node in 0..NODES {
-        world.wake(node);
+        world.resume(node);
         if world.nodes[node].core.is_none() {
             world.start(node);
         }
@@ -251,14 +251,16 @@
 /// Returns whether every booking of a key was refused as not run.
 fn is_unused(world: &World, key: &str) -> bool {
     let mut asked = world.records.iter().filter_map(|(_, record)| match record {
-        Record::Asked(number, asked) if asked.idempotency.as_deref() == Some(key) => Some(*number),
+        Record::RequestSent(number, asked) if asked.idempotency.as_deref() == Some(key) => {
+            Some(*number)
+        }
         _ => None,
     });
     asked.all(|number| refusal(world.outcome(number)).is_some_and(|(_, ran)| ran == Ran::NotRun))
 }
 
 proptest! {
-    #![proptest_config(histories::proving(histories::histories(500)))]
+    #![proptest_config(histories::proptest_config(histories::histories(500)))]
 
     /// No key runs twice, whatever fails. If no node was killed, a key whose attempts were all
     /// refused as not run can still be used.
@@ -278,10 +280,10 @@
             let number = book(&mut world, 0, Some(&key));
             world.run(SETTLED);
             let outcome = world.outcome(number);
-            prop_assert!(!is_free || is_whole(outcome), "{key} was lost: {outcome:?}");
+            prop_assert!(!is_free || is_complete(outcome), "{key} was lost: {outcome:?}");
             prop_assert!(outcome.is_some(), "{key} has no answer");
         }
-        let breach = world.checker.breaches().first();
-        prop_assert!(breach.is_none(), "{breach:?}");
+        let violation = world.checker.violations().first();
+        prop_assert!(violation.is_none(), "{violation:?}");
     }
 }
--- a/crates/orioleroute/tests/common/mod.rs
+++ b/crates/orioleroute/tests/common/mod.rs
@@ -43,7 +43,7 @@
 
 /// The size and kind of a simulated system; `nodes` and `engines` are per region.
 #[derive(Clone, Copy)]
-pub struct Shape {
+pub struct Topology {
     pub regions: &'static [&'static str],
     pub nodes: usize,
     pub engines: usize,
@@ -51,27 +51,27 @@
     pub checks_fencing: bool,
 }
 
-pub const ONE_REGION: Shape =
-    Shape { regions: &["zurich"], nodes: 3, engines: 3, slots: 4, checks_fencing: true };
+pub const ONE_REGION: Topology =
+    Topology { regions: &["zurich"], nodes: 3, engines: 3, slots: 4, checks_fencing: true };
 
 /// Returns a simulated system with an active document, in which every lease is valid.
-pub fn world(seed: u64, shape: Shape) -> World {
+pub fn world(seed: u64, topology: Topology) -> World {
     let mut world = World::new(seed);
-    for region in shape.regions {
-        for _ in 0..shape.nodes {
+    for region in topology.regions {
+        for _ in 0..topology.nodes {
             world.add_node(region);
         }
     }
-    for region in shape.regions {
-        for _ in 0..shape.engines {
-            let pool = if shape.checks_fencing { "checked" } else { "ignored" };
-            let mut engine = Engine::new(world.engines.len(), pool, region, shape.slots);
-            engine.checks_fencing = shape.checks_fencing;
+    for region in topology.regions {
+        for _ in 0..topology.engines {
+            let pool = if topology.checks_fencing { "checked" } else { "ignored" };
+            let mut engine = Engine::new(world.engines.len(), pool, region, topology.slots);
+            engine.checks_fencing = topology.checks_fencing;
             world.add_engine(engine);
         }
     }
     world.run(Duration::from_secs(8));
-    let document = document(1, shape.slots as u32).into();
+    let document = document(1, topology.slots as u32).into();
     world.command(0, Command::Submit { base: 0, document });
     world.run(Duration::from_secs(8));
     world
@@ -95,7 +95,7 @@
         let number = world.ask(node, request(adapter, limit));
         let left = limit.saturating_sub(world.now.since(started));
         world.run_until(left, |world| world.outcome(number).is_some());
-        if is_whole(world, number) {
+        if is_complete(world, number) {
             return Some(world.now.since(started));
         }
         world.run(Duration::from_millis(100));
@@ -103,8 +103,8 @@
     None
 }
 
-pub fn is_whole(world: &World, number: usize) -> bool {
-    matches!(world.outcome(number), Some(Outcome::Whole(_)))
+pub fn is_complete(world: &World, number: usize) -> bool {
+    matches!(world.outcome(number), Some(Outcome::Complete(_)))
 }
 
 /// Returns the node that owns the upstream according to the view of a live node of its region.
--- a/crates/orioleroute/tests/configuration.rs
+++ b/crates/orioleroute/tests/configuration.rs
@@ -4,13 +4,13 @@
 
 use std::time::Duration;
 
-use common::{ONE_REGION, Shape, document, world};
+use common::{ONE_REGION, Topology, document, world};
 use orioleroute::document::{Delta, Document};
 use orioleroute::operator::{Answer, Command};
 use proptest::prelude::*;
 use standins::world::World;
 
-const TWO_REGIONS: Shape = Shape { regions: &["zurich", "geneva"], ..ONE_REGION };
+const TWO_REGIONS: Topology = Topology { regions: &["zurich", "geneva"], ..ONE_REGION };
 
 fn submit(world: &mut World, node: usize, base: u64, versions: usize) -> u64 {
     let document = document(versions, 4).into();
@@ -43,7 +43,7 @@
         });
         let accepted = world.now;
         // For half of the seeds the announcements of the acceptance are lost.
-        world.cuts.extend((0..6).filter(|_| seed % 2 == 1).map(|to| (4, to)));
+        world.partitions.extend((0..6).filter(|_| seed % 2 == 1).map(|to| (4, to)));
         world.run_until(Duration::from_secs(4), |world| versions(world) == [2; 6]);
 
         assert_eq!(versions(&world), [2; 6], "seed {seed}");
@@ -59,7 +59,7 @@
     for seed in 0..60 {
         let mut world = world(seed, TWO_REGIONS);
         world.platform.faults.replies_lost = seed % 3 == 1;
-        world.platform.faults.writes_late = (seed % 3 == 2).then_some(Duration::from_millis(1_700));
+        world.platform.faults.write_delay = (seed % 3 == 2).then_some(Duration::from_millis(1_700));
         let first = submit(&mut world, 0, 1, 2);
         world.run(Duration::from_millis(seed * 5));
         let second = submit(&mut world, 5, 1, 3);
@@ -76,7 +76,7 @@
         let revisions = world.nodes[0].core.as_ref().unwrap().catalog().current().count();
         let winner = if accepted[0] { 2 } else { 3 };
         assert_eq!(revisions, common::ADAPTERS * winner, "seed {seed}: {answers:?}");
-        assert_eq!(world.checker.breaches(), [], "seed {seed}");
+        assert_eq!(world.checker.violations(), [], "seed {seed}");
     }
 }
 
@@ -94,7 +94,7 @@
     let mut world = world(1, TWO_REGIONS);
     for here in 0..3 {
         for there in 3..6 {
-            world.cut(here, there);
+            world.partition(here, there);
         }
     }
     let ticket = submit(&mut world, 0, 1, 2);
@@ -107,7 +107,7 @@
 
     assert_eq!(world.answers[&ticket], Answer::Accepted { version: 2 });
     assert_eq!(versions(&world), [2; 6]);
-    assert_eq!(world.checker.breaches(), []);
+    assert_eq!(world.checker.violations(), []);
 }
 
 #[test]
@@ -149,7 +149,7 @@
     for adapter in 0..common::ADAPTERS {
         common::time_to_answer(&mut world, 2, adapter, Duration::from_secs(5)).expect("an answer");
     }
-    world.freeze(2);
+    world.pause(2);
     world.run(Duration::from_secs(6));
     for base in 1..4 {
         let document = common::document_of(adapters, base as usize, 4).into();
@@ -166,18 +166,18 @@
     let document = common::document_of(ADAPTERS + 1, 3, 4).into();
     world.command(0, Command::Submit { base: 4, document });
     world.run(Duration::from_secs(3));
-    world.wake(2);
+    world.resume(2);
     world.run(Duration::from_secs(5));
     assert_eq!(versions(&world), [5; 3]);
 
-    world.freeze(2);
+    world.pause(2);
     world.run(Duration::from_secs(6));
     let document = common::document_of(ADAPTERS, 3, 4).into();
     world.command(0, Command::Submit { base: 5, document });
     world.run(Duration::from_secs(3));
     world.platform.faults.objects_down = true;
     let before: u64 = world.nodes.iter().map(|node| node.counts.bytes).sum();
-    world.wake(2);
+    world.resume(2);
     world.run(Duration::from_secs(3));
 
     let after: u64 = world.nodes.iter().map(|node| node.counts.bytes).sum();
@@ -190,10 +190,10 @@
 fn a_member_that_knows_it_is_behind_answers_nothing() {
     let mut world = world_with_one_behind(common::ADAPTERS);
     world.platform.faults.objects_down = true;
-    world.cut(0, 2);
-    world.cut(1, 2);
+    world.partition(0, 2);
+    world.partition(1, 2);
 
-    world.wake(2);
+    world.resume(2);
     for _ in 0..80 {
         for adapter in 0..common::ADAPTERS {
             world.ask(2, common::request(adapter, Duration::from_secs(1)));
@@ -201,7 +201,7 @@
         world.run(Duration::from_millis(100));
     }
 
-    assert_eq!(world.checker.breaches(), []);
+    assert_eq!(world.checker.violations(), []);
 }
 
 proptest! {
@@ -234,8 +234,8 @@
 
 #[test]
 fn a_request_that_waits_for_a_dropped_version_is_refused_at_once() {
-    let shape = Shape { engines: 1, slots: 1, ..ONE_REGION };
-    let mut world = world(1, shape);
+    let topology = Topology { engines: 1, slots: 1, ..ONE_REGION };
+    let mut world = world(1, topology);
     submit(&mut world, 0, 1, 2);
     world.run(Duration::from_secs(2));
     world.engines[0].faults.loads_fail = true;
--- a/crates/orioleroute/tests/fault_points.rs
+++ b/crates/orioleroute/tests/fault_points.rs
@@ -1,4 +1,4 @@
-//! Injects every fault at each of several moments of a history and checks every promise.
+//! Injects every fault at each of several moments of a history and checks every invariant.
 
 mod histories;
 
@@ -17,27 +17,32 @@
     SubmissionStaged,
     SubmissionAccepted,
     ViewChanged,
-    ProcessWoken,
+    ProcessResumed,
 }
 
 /// Returns the faults of node 0, which receives the requests and submissions, of its peers and of
 /// the services that it uses.
 fn faults() -> Vec<Step> {
     let mut faults = vec![
-        Step::Cut(0, 1),
-        Step::CutOneWay(0, 1),
-        Step::CutOneWay(1, 0),
-        Step::CutOneWay(0, 3),
+        Step::Partition(0, 1),
+        Step::PartitionOneWay(0, 1),
+        Step::PartitionOneWay(1, 0),
+        Step::PartitionOneWay(0, 3),
         Step::TableDown,
         Step::TableSlow(2_000),
         Step::RepliesLost,
         Step::WritesLate(3_000),
         Step::ObjectsDown,
         messages(50, 50, 2_000),
-        Step::Race { one: 0, other: 3 },
+        Step::SubmitConcurrently { one: 0, other: 3 },
     ];
     for node in 0..NODES_PER_REGION {
-        faults.extend([Step::Kill(node), Step::Stop(node), Step::Freeze(node), Step::Sever(node)]);
+        faults.extend([
+            Step::Kill(node),
+            Step::Stop(node),
+            Step::Pause(node),
+            Step::IsolateFromPlatform(node),
+        ]);
     }
     for engine in 0..ENGINES_PER_REGION {
         faults.extend([
@@ -47,7 +52,7 @@
             Step::OrderRepliesLost(engine, true),
             Step::AnswersLost(engine, true),
             Step::ReportsLate(engine, 2_000),
-            Step::Leave(engine),
+            Step::DrainUpstream(engine),
         ]);
     }
     faults
@@ -73,25 +78,28 @@
             apply(world, &Step::Submit { node: 0, versions: 2 });
         }
         Moment::ViewChanged => apply(world, &Step::Kill(2)),
-        Moment::ProcessWoken => {
-            apply(world, &Step::Freeze(2));
+        Moment::ProcessResumed => {
+            apply(world, &Step::Pause(2));
             world.run(Duration::from_secs(8));
-            apply(world, &Step::Wake(2));
+            apply(world, &Step::Resume(2));
         }
     }
     match moment {
-        Moment::LoadOrdered => {
-            world.run_until(limit, happened(|record| matches!(record, Record::Took { .. }), since))
-        }
-        Moment::RequestRunning => {
-            world.run_until(limit, happened(|record| matches!(record, Record::Began { .. }), since))
-        }
+        Moment::LoadOrdered => world.run_until(
+            limit,
+            happened(|record| matches!(record, Record::OrderAccepted { .. }), since),
+        ),
+        Moment::RequestRunning => world.run_until(
+            limit,
+            happened(|record| matches!(record, Record::RunStarted { .. }), since),
+        ),
         Moment::SubmissionStaged => {
             world.run_until(limit, |world| world.platform.rows["config/staged"].version == 3)
         }
-        Moment::SubmissionAccepted => {
-            world.run_until(limit, happened(|record| matches!(record, Record::Head { .. }), since))
-        }
+        Moment::SubmissionAccepted => world.run_until(
+            limit,
+            happened(|record| matches!(record, Record::ConfigAccepted { .. }), since),
+        ),
         Moment::ViewChanged => {
             let view = world.platform.rows["view/zurich"].version;
             world.run_until(limit, |world| world.platform.rows["view/zurich"].version > view)
@@ -101,7 +109,7 @@
 }
 
 #[rstest::rstest]
-fn every_fault_at_this_moment_breaks_no_promise(
+fn every_fault_at_this_moment_violates_no_invariant(
     #[values(
         Moment::Idle,
         Moment::RequestArrived,
@@ -110,7 +118,7 @@
         Moment::SubmissionStaged,
         Moment::SubmissionAccepted,
         Moment::ViewChanged,
-        Moment::ProcessWoken
+        Moment::ProcessResumed
     )]
     moment: Moment,
 ) {
@@ -119,14 +127,14 @@
         assert!(reach(&mut world, moment), "{moment:?}");
         apply(&mut world, &fault);
         ask_for(3..9).for_each(|step| apply(&mut world, &step));
-        apply(&mut world, &Step::Book { node: 1, key: 1 });
+        apply(&mut world, &Step::CallService { node: 1, key: 1 });
         world.run(Duration::from_secs(2));
         ask_for(6..12).for_each(|step| apply(&mut world, &step));
-        apply(&mut world, &Step::Book { node: 4, key: 1 });
+        apply(&mut world, &Step::CallService { node: 4, key: 1 });
         world.run(Duration::from_secs(8));
-        world.settle(QUIET);
+        world.settle(RECOVERY_TIME);
 
-        let broken = world.checker.breaches();
-        assert!(broken.is_empty(), "{fault:?} at {moment:?}: {broken:?}");
+        let violations = world.checker.violations();
+        assert!(violations.is_empty(), "{fault:?} at {moment:?}: {violations:?}");
     }
 }
--- a/crates/orioleroute/tests/histories/mod.rs
+++ b/crates/orioleroute/tests/histories/mod.rs
@@ -7,7 +7,7 @@
 use orioleroute::request::{Spec, Target};
 use proptest::prelude::*;
 use serde_json::json;
-use standins::world::check::{Breach, Promise};
+use standins::world::check::{Invariant, Violation};
 use standins::world::{Engine, Network, World};
 
 pub const REGIONS: [&str; 2] = ["zurich", "geneva"];
@@ -23,18 +23,18 @@
         adapter: usize,
         exact: bool,
     },
-    Book {
+    CallService {
         node: usize,
         key: usize,
     },
     Kill(usize),
     Start(usize),
     Stop(usize),
-    Freeze(usize),
-    Wake(usize),
-    Cut(usize, usize),
-    CutOneWay(usize, usize),
-    Sever(usize),
+    Pause(usize),
+    Resume(usize),
+    Partition(usize, usize),
+    PartitionOneWay(usize, usize),
+    IsolateFromPlatform(usize),
     TableDown,
     TableSlow(u64),
     RepliesLost,
@@ -48,9 +48,9 @@
     OrderRepliesLost(usize, bool),
     AnswersLost(usize, bool),
     ReportsLate(usize, u64),
-    Leave(usize),
+    DrainUpstream(usize),
     /// Two operators submit documents at two nodes at the same time.
-    Race {
+    SubmitConcurrently {
         one: usize,
         other: usize,
     },
@@ -63,8 +63,12 @@
     Wait(u64),
 }
 
-pub fn messages(doubled: u64, delayed: u64, delay: u64) -> Step {
-    Step::Messages(Network { doubled, delayed, delay: Duration::from_millis(delay) })
+pub fn messages(duplicate_percent: u64, delay_percent: u64, max_delay_ms: u64) -> Step {
+    Step::Messages(Network {
+        duplicate_percent,
+        delay_percent,
+        max_delay: Duration::from_millis(max_delay_ms),
+    })
 }
 
 /// Returns a strategy for faults.
@@ -74,24 +78,28 @@
     prop_oneof![
         3 => node.clone().prop_map(Step::Kill),
         1 => node.clone().prop_map(Step::Stop),
-        3 => node.clone().prop_map(Step::Freeze),
-        1 => (node.clone(), node.clone()).prop_map(|(a, b)| Step::Cut(a, b)),
-        2 => (node.clone(), node.clone()).prop_map(|(a, b)| Step::CutOneWay(a, b)),
-        1 => node.prop_map(Step::Sever),
+        3 => node.clone().prop_map(Step::Pause),
+        1 => (node.clone(), node.clone()).prop_map(|(a, b)| Step::Partition(a, b)),
+        2 => (node.clone(), node.clone()).prop_map(|(a, b)| Step::PartitionOneWay(a, b)),
+        1 => node.prop_map(Step::IsolateFromPlatform),
         1 => Just(Step::TableDown),
         1 => (100..3_000_u64).prop_map(Step::TableSlow),
         1 => Just(Step::RepliesLost),
         1 => (500..6_000_u64).prop_map(Step::WritesLate),
         1 => Just(Step::ObjectsDown),
         1 => (0..50_u64, 0..50_u64, 1..2_000_u64)
-            .prop_map(|(doubled, delayed, delay)| messages(doubled, delayed, delay)),
+            .prop_map(|(duplicate_percent, delay_percent, max_delay_ms)| messages(
+                duplicate_percent,
+                delay_percent,
+                max_delay_ms
+            )),
         1 => engine.clone().prop_map(Step::RestartEngine),
         1 => (engine.clone(), any::<bool>()).prop_map(|(e, down)| Step::EngineDown(e, down)),
         1 => (engine.clone(), any::<bool>()).prop_map(|(e, fail)| Step::LoadsFail(e, fail)),
         1 => (engine.clone(), any::<bool>()).prop_map(|(e, lost)| Step::OrderRepliesLost(e, lost)),
         1 => (engine.clone(), any::<bool>()).prop_map(|(e, lost)| Step::AnswersLost(e, lost)),
         1 => (engine.clone(), 0..2_000_u64).prop_map(|(e, lag)| Step::ReportsLate(e, lag)),
-        1 => engine.prop_map(Step::Leave),
+        1 => engine.prop_map(Step::DrainUpstream),
     ]
 }
 
@@ -101,12 +109,12 @@
     prop_oneof![
         12 => (node.clone(), 0..ADAPTERS, any::<bool>())
             .prop_map(|(node, adapter, exact)| Step::Ask { node, adapter, exact }),
-        3 => (node.clone(), 0..4_usize).prop_map(|(node, key)| Step::Book { node, key }),
+        3 => (node.clone(), 0..4_usize).prop_map(|(node, key)| Step::CallService { node, key }),
         2 => node.clone().prop_map(Step::Start),
-        3 => node.clone().prop_map(Step::Wake),
+        3 => node.clone().prop_map(Step::Resume),
         2 => Just(Step::Heal),
         2 => (node.clone(), 1..3_usize).prop_map(|(node, versions)| Step::Submit { node, versions }),
-        1 => (node.clone(), node).prop_map(|(one, other)| Step::Race { one, other }),
+        1 => (node.clone(), node).prop_map(|(one, other)| Step::SubmitConcurrently { one, other }),
         12 => (1..3_000_u64).prop_map(Step::Wait),
         10 => fault(),
         3 => (fault(), fault()).prop_map(|(a, b)| Step::Both(Box::new(a), Box::new(b))),
@@ -182,7 +190,7 @@
             let target = Target::Model(format!("adapter-{adapter}{version}").into());
             world.ask(*node, spec(target, true, None));
         }
-        Step::Book { node, key } => {
+        Step::CallService { node, key } => {
             let target = Target::Service("bookings".into());
             world.ask(*node, spec(target, false, Some(format!("booking-{key}").into())));
         }
@@ -190,22 +198,22 @@
         Step::Start(node) if world.nodes[*node].core.is_none() => world.start(*node),
         Step::Start(_) => {}
         Step::Stop(node) => world.stop(*node),
-        Step::Freeze(node) => world.freeze(*node),
-        Step::Wake(node) => world.wake(*node),
-        Step::Cut(one, other) => world.cut(*one, *other),
-        Step::CutOneWay(from, to) => {
-            world.cuts.insert((*from, *to));
+        Step::Pause(node) => world.pause(*node),
+        Step::Resume(node) => world.resume(*node),
+        Step::Partition(one, other) => world.partition(*one, *other),
+        Step::PartitionOneWay(from, to) => {
+            world.partitions.insert((*from, *to));
         }
-        Step::Sever(node) => {
-            world.severed.insert(*node);
+        Step::IsolateFromPlatform(node) => {
+            world.isolated_from_platform.insert(*node);
         }
         Step::TableDown => world.platform.faults.table_down = true,
         Step::TableSlow(millis) => {
-            world.platform.faults.slow = Duration::from_millis(*millis);
+            world.platform.faults.reply_delay = Duration::from_millis(*millis);
         }
         Step::RepliesLost => world.platform.faults.replies_lost = true,
         Step::WritesLate(millis) => {
-            world.platform.faults.writes_late = Some(Duration::from_millis(*millis));
+            world.platform.faults.write_delay = Some(Duration::from_millis(*millis));
         }
         Step::ObjectsDown => world.platform.faults.objects_down = true,
         Step::Messages(network) => world.network = *network,
@@ -219,7 +227,7 @@
         Step::ReportsLate(engine, millis) => {
             world.engines[*engine].report_lag = Duration::from_millis(*millis);
         }
-        Step::Race { one, other } => {
+        Step::SubmitConcurrently { one, other } => {
             apply(world, &Step::Submit { node: *one, versions: 1 });
             apply(world, &Step::Submit { node: *other, versions: 2 });
         }
@@ -228,7 +236,7 @@
             apply(world, other);
         }
         Step::LoadsFail(engine, fail) => world.engines[*engine].faults.loads_fail = *fail,
-        Step::Leave(engine) => world.let_leave(*engine),
+        Step::DrainUpstream(engine) => world.drain_upstream(*engine),
         Step::Submit { node, versions } => {
             let base = world.nodes[*node].core.as_ref().map_or(0, |core| core.version());
             let document = document(*versions).into();
@@ -238,28 +246,33 @@
     }
 }
 
-/// Runs a history and returns its first breach, checked after every step and after recovery.
-pub fn first_breach(
+/// Runs a history and returns its first violation, checked after every step and after recovery.
+pub fn first_violation(
     seed: u64,
     steps: &[Step],
-    promised: impl Fn(Promise) -> bool,
-) -> Option<Breach> {
+    is_selected: impl Fn(Invariant) -> bool,
+) -> Option<Violation> {
     let mut world = world(seed);
     let first = |world: &World| {
-        world.checker.breaches().iter().find(|breach| promised(breach.promise)).cloned()
+        world
+            .checker
+            .violations()
+            .iter()
+            .find(|violation| is_selected(violation.invariant))
+            .cloned()
     };
     for step in steps {
         apply(&mut world, step);
-        if let Some(breach) = first(&world) {
-            return Some(breach);
+        if let Some(violation) = first(&world) {
+            return Some(violation);
         }
     }
-    world.settle(QUIET);
+    world.settle(RECOVERY_TIME);
     first(&world)
 }
 
 /// The time after the last fault within which the system must have recovered.
-pub const QUIET: Duration = Duration::from_secs(20);
+pub const RECOVERY_TIME: Duration = Duration::from_secs(20);
 
 /// Returns the number of histories to run: `ORIOLEROUTE_HISTORIES` if set, otherwise `usual`.
 pub fn histories(usual: u32) -> u32 {
@@ -267,7 +280,7 @@
     requested.and_then(|text| text.parse().ok()).unwrap_or(usual)
 }
 
-pub fn proving(histories: u32) -> ProptestConfig {
+pub fn proptest_config(histories: u32) -> ProptestConfig {
     ProptestConfig {
         cases: histories,
         max_shrink_iters: 2_000,
--- a/crates/orioleroute/tests/lease.rs
+++ b/crates/orioleroute/tests/lease.rs
@@ -5,14 +5,14 @@
 
 use std::time::Duration;
 
-use common::{ADAPTERS, ONE_REGION, Shape, is_whole, request, time_to_answer, world};
+use common::{ADAPTERS, ONE_REGION, Topology, is_complete, request, time_to_answer, world};
 use orioleroute::request::Target;
 use rstest::rstest;
 use standins::world::World;
 
 const SEEDS: u64 = 50;
-const THREE_REGIONS: Shape =
-    Shape { regions: &["zurich", "geneva", "lugano"], slots: 12, ..ONE_REGION };
+const THREE_REGIONS: Topology =
+    Topology { regions: &["zurich", "geneva", "lugano"], slots: 12, ..ONE_REGION };
 
 /// Returns the node that is the home of an adapter in the first region.
 fn home(world: &World, adapter: usize) -> usize {
@@ -23,8 +23,8 @@
 }
 
 /// Kills the home of an adapter and returns the time until another node answers a request for it.
-fn takeover(seed: u64, shape: Shape, loaded: bool) -> Option<Duration> {
-    let mut world = world(seed, shape);
+fn takeover(seed: u64, topology: Topology, loaded: bool) -> Option<Duration> {
+    let mut world = world(seed, topology);
     let home = home(&world, 0);
     let other = (home + 1) % world.nodes.len();
     if loaded {
@@ -35,7 +35,7 @@
     world.kill(home);
     let elapsed = time_to_answer(&mut world, other, 0, Duration::from_secs(60));
 
-    assert_eq!(world.checker.breaches(), [], "seed {seed}");
+    assert_eq!(world.checker.violations(), [], "seed {seed}");
     elapsed
 }
 
@@ -55,8 +55,8 @@
     #[case] loaded: bool,
     #[case] bound_s: u64,
 ) {
-    let shape = Shape { engines, checks_fencing, ..ONE_REGION };
-    let elapsed = (0..SEEDS).map(|seed| takeover(seed, shape, loaded));
+    let topology = Topology { engines, checks_fencing, ..ONE_REGION };
+    let elapsed = (0..SEEDS).map(|seed| takeover(seed, topology, loaded));
     let mut elapsed: Vec<Duration> = elapsed.map(|time| time.unwrap_or(Duration::MAX)).collect();
     elapsed.sort();
 
@@ -83,18 +83,18 @@
 
         let incomplete: Vec<_> = requests
             .iter()
-            .filter(|number| !is_whole(&world, **number))
+            .filter(|number| !is_complete(&world, **number))
             .map(|number| world.outcome(*number))
             .collect();
         assert!(incomplete.is_empty(), "seed {seed}: {incomplete:?}");
-        assert_eq!(world.checker.breaches(), [], "seed {seed}");
+        assert_eq!(world.checker.violations(), [], "seed {seed}");
     }
 }
 
 #[test]
 fn after_a_death_in_a_table_outage_the_others_answer_from_what_is_loaded_and_load_again_after_it() {
     for seed in 0..20 {
-        let mut world = world(seed, Shape { slots: 12, ..ONE_REGION });
+        let mut world = world(seed, Topology { slots: 12, ..ONE_REGION });
         let homes: Vec<usize> = (0..ADAPTERS).map(|adapter| home(&world, adapter)).collect();
         let dead = homes[0];
         let loaded_elsewhere: Vec<usize> =
@@ -115,20 +115,20 @@
             }
             world.run(Duration::from_secs(10));
         }
-        let incomplete = requests.iter().filter(|number| !is_whole(&world, **number)).count();
+        let incomplete = requests.iter().filter(|number| !is_complete(&world, **number)).count();
         assert_eq!(incomplete, 0, "seed {seed}: {incomplete} of {}", requests.len());
 
         world.heal();
         let elapsed = time_to_answer(&mut world, (dead + 1) % 3, 0, Duration::from_secs(30));
         assert!(elapsed.is_some_and(|time| time < Duration::from_secs(10)), "{elapsed:?}");
-        assert_eq!(world.checker.breaches(), [], "seed {seed}");
+        assert_eq!(world.checker.violations(), [], "seed {seed}");
     }
 }
 
 #[test]
 fn an_upstream_that_says_it_is_leaving_gets_no_new_work_although_the_list_lags() {
     for seed in 0..20 {
-        let mut world = world(seed, Shape { engines: 1, ..ONE_REGION });
+        let mut world = world(seed, Topology { engines: 1, ..ONE_REGION });
         time_to_answer(&mut world, 0, 0, Duration::from_secs(5)).expect("an answer");
         world.engines[0].faults.draining = true;
         world.run(Duration::from_secs(3));
@@ -146,7 +146,7 @@
 #[test]
 fn a_restarted_instance_answers_from_what_is_loaded_without_loading_it_again() {
     for seed in 0..20 {
-        let mut world = world(seed, Shape { engines: 1, ..ONE_REGION });
+        let mut world = world(seed, Topology { engines: 1, ..ONE_REGION });
         let home = home(&world, 0);
         time_to_answer(&mut world, home, 0, Duration::from_secs(5)).expect("an answer");
         world.kill(home);
--- a/crates/orioleroute/tests/membership.rs
+++ b/crates/orioleroute/tests/membership.rs
@@ -4,31 +4,31 @@
 
 use std::time::Duration;
 
-use common::{ONE_REGION, Shape, is_whole, owner, request, time_to_answer, world};
+use common::{ONE_REGION, Topology, is_complete, owner, request, time_to_answer, world};
 use orioleroute::operator::Command;
 use rstest::rstest;
 use standins::world::World;
-use standins::world::check::Breach;
+use standins::world::check::Violation;
 
-/// An owner that is cut off from its peers, and later from the table, continues to answer until its
+/// An owner that is partitioned from its peers, and later from the table, continues to answer until its
 /// lease expires. The adapters that its requests use must not be evicted in that time.
 #[rstest]
 #[case::engines_that_check_fencing(true)]
 #[case::engines_that_ignore_fencing(false)]
 fn a_new_owner_evicts_nothing_that_an_isolated_owner_still_uses(#[case] checks_fencing: bool) {
     for seed in 0..20 {
-        let shape = Shape { engines: 1, slots: 1, checks_fencing, ..ONE_REGION };
-        let mut world = world(seed, shape);
+        let topology = Topology { engines: 1, slots: 1, checks_fencing, ..ONE_REGION };
+        let mut world = world(seed, topology);
         let previous = owner(&world, 0);
         time_to_answer(&mut world, previous, 0, Duration::from_secs(5)).expect("an answer");
         world.engines[0].run_time = Duration::from_millis(20);
         for other in (0..3).filter(|other| *other != previous) {
-            world.cut(previous, other);
+            world.partition(previous, other);
         }
 
         for millis in (0..12_000).step_by(40) {
             if millis == 3_000 {
-                world.severed.insert(previous);
+                world.isolated_from_platform.insert(previous);
             }
             world.ask(previous, request(0, Duration::from_secs(1)));
             if millis % 1_000 == 0 {
@@ -37,7 +37,7 @@
             world.run(Duration::from_millis(40));
         }
 
-        assert_eq!(breaches(&world), [], "seed {seed}");
+        assert_eq!(violations(&world), [], "seed {seed}");
     }
 }
 
@@ -45,7 +45,7 @@
 #[test]
 fn a_new_owner_evicts_nothing_that_a_leaving_owner_still_uses() {
     for seed in 0..20 {
-        let mut world = world(seed, Shape { engines: 1, slots: 1, ..ONE_REGION });
+        let mut world = world(seed, Topology { engines: 1, slots: 1, ..ONE_REGION });
         let previous = owner(&world, 0);
         time_to_answer(&mut world, previous, 0, Duration::from_secs(5)).expect("an answer");
         world.engines[0].run_time = Duration::from_millis(20);
@@ -53,9 +53,9 @@
 
         for millis in (0..8_000).step_by(40) {
             if millis == 80 + seed * 40 {
-                world.severed.insert(previous);
+                world.isolated_from_platform.insert(previous);
                 for other in (0..3).filter(|other| *other != previous) {
-                    world.cut(previous, other);
+                    world.partition(previous, other);
                 }
             }
             world.ask(previous, request(0, Duration::from_secs(1)));
@@ -65,14 +65,14 @@
             world.run(Duration::from_millis(40));
         }
 
-        assert_eq!(breaches(&world), [], "seed {seed}");
+        assert_eq!(violations(&world), [], "seed {seed}");
     }
 }
 
 #[test]
 fn an_owner_that_leaves_ends_its_streams_and_then_itself_while_others_take_its_upstream_over() {
     for seed in 0..20 {
-        let mut world = world(seed, Shape { engines: 1, slots: 1, ..ONE_REGION });
+        let mut world = world(seed, Topology { engines: 1, slots: 1, ..ONE_REGION });
         let previous = owner(&world, 0);
         time_to_answer(&mut world, previous, 0, Duration::from_secs(5)).expect("an answer");
         world.engines[0].run_time = Duration::from_secs(8);
@@ -90,11 +90,11 @@
 
         let incomplete: Vec<_> = requests
             .iter()
-            .filter(|number| !is_whole(&world, **number))
+            .filter(|number| !is_complete(&world, **number))
             .map(|number| world.outcome(*number))
             .collect();
         assert!(incomplete.is_empty(), "seed {seed}: {incomplete:?}");
-        assert_eq!(breaches(&world), [], "seed {seed}");
+        assert_eq!(violations(&world), [], "seed {seed}");
         assert!(world.nodes[previous].core.is_none(), "seed {seed}");
     }
 }
@@ -105,18 +105,18 @@
 #[case::engines_that_ignore_fencing(false)]
 fn a_new_owner_uses_nothing_that_a_former_owner_may_still_evict(#[case] checks_fencing: bool) {
     for seed in 0..20 {
-        let shape = Shape { nodes: 2, engines: 6, slots: 1, checks_fencing, ..ONE_REGION };
-        let mut world = world(seed, shape);
+        let topology = Topology { nodes: 2, engines: 6, slots: 1, checks_fencing, ..ONE_REGION };
+        let mut world = world(seed, topology);
         for adapter in 0..common::ADAPTERS {
             time_to_answer(&mut world, 0, adapter, Duration::from_secs(9)).expect("an answer");
         }
         for engine in &mut world.engines {
             engine.run_time = Duration::from_millis(60);
         }
-        world.severed.extend([0, 1]);
+        world.isolated_from_platform.extend([0, 1]);
         let joiner = world.add_node("zurich");
-        world.cut(0, joiner);
-        world.cut(1, joiner);
+        world.partition(0, joiner);
+        world.partition(1, joiner);
 
         for round in 0..200 {
             for node in 0..3 {
@@ -126,18 +126,18 @@
             world.run(Duration::from_millis(50));
         }
 
-        assert_eq!(breaches(&world), [], "seed {seed}");
+        assert_eq!(violations(&world), [], "seed {seed}");
     }
 }
 
 #[test]
 fn a_member_removed_while_it_was_stopped_answers_nothing_in_a_table_outage() {
     for seed in 0..20 {
-        let mut world = world(seed, Shape { slots: 12, ..ONE_REGION });
+        let mut world = world(seed, Topology { slots: 12, ..ONE_REGION });
         for adapter in 0..common::ADAPTERS {
             time_to_answer(&mut world, 2, adapter, Duration::from_secs(5)).expect("an answer");
         }
-        world.freeze(2);
+        world.pause(2);
         let document = common::document(1, 12).into();
         world.command(0, Command::Submit { base: 1, document });
         let accepted = world.run_until(Duration::from_secs(8), |world| {
@@ -147,7 +147,7 @@
         world.platform.faults.table_down = true;
         world.run(Duration::from_millis(1_200));
 
-        world.wake(2);
+        world.resume(2);
         for _ in 0..100 {
             for adapter in 0..common::ADAPTERS {
                 world.ask(2, request(adapter, Duration::from_secs(1)));
@@ -155,12 +155,12 @@
             world.run(Duration::from_millis(100));
         }
 
-        assert_eq!(breaches(&world), [], "seed {seed}");
+        assert_eq!(violations(&world), [], "seed {seed}");
     }
 }
 
-fn breaches(world: &World) -> Vec<Breach> {
-    world.checker.breaches().to_vec()
+fn violations(world: &World) -> Vec<Violation> {
+    world.checker.violations().to_vec()
 }
 
 #[test]
@@ -178,6 +178,6 @@
     world.stop(stopped);
     world.run(Duration::from_secs(15));
 
-    assert!(is_whole(&world, number), "{:?}", world.outcome(number));
+    assert!(is_complete(&world, number), "{:?}", world.outcome(number));
     assert!(world.nodes[stopped].core.is_none(), "it still runs");
 }
--- a/crates/orioleroute/tests/policy.rs
+++ b/crates/orioleroute/tests/policy.rs
@@ -223,7 +223,7 @@
 
     for request in requests {
         let outcome = world.outcome(request);
-        assert!(matches!(outcome, Some(Outcome::Whole(_))), "{outcome:?}");
+        assert!(matches!(outcome, Some(Outcome::Complete(_))), "{outcome:?}");
     }
 }
 
@@ -238,7 +238,7 @@
     world.run(Duration::from_secs(8));
 
     let outcome = world.outcome(request);
-    assert!(matches!(outcome, Some(Outcome::Whole(_))), "{outcome:?}");
+    assert!(matches!(outcome, Some(Outcome::Complete(_))), "{outcome:?}");
 }
 
 #[test]
@@ -283,10 +283,10 @@
         let request = world.ask(node, spec(0));
         world.run(Duration::from_secs(2));
         let outcome = world.outcome(request);
-        assert!(matches!(outcome, Some(Outcome::Whole(_))), "{outcome:?}");
+        assert!(matches!(outcome, Some(Outcome::Complete(_))), "{outcome:?}");
     }
 
-    let ordered = |record: &Record| matches!(record, Record::Ordered { load: true, .. });
+    let ordered = |record: &Record| matches!(record, Record::OrderCompleted { load: true, .. });
     assert_eq!(world.records.iter().filter(|(_, record)| ordered(record)).count(), loads);
 }
 
@@ -302,7 +302,7 @@
 
     for request in [first, second] {
         let outcome = world.outcome(request);
-        assert!(matches!(outcome, Some(Outcome::Whole(_))), "{outcome:?}");
+        assert!(matches!(outcome, Some(Outcome::Complete(_))), "{outcome:?}");
     }
 }
 
@@ -326,8 +326,8 @@
 
     for request in rest.into_iter().chain([first]) {
         let outcome = world.outcome(request);
-        assert!(matches!(outcome, Some(Outcome::Whole(_))), "{outcome:?}");
+        assert!(matches!(outcome, Some(Outcome::Complete(_))), "{outcome:?}");
     }
-    let ordered = |record: &Record| matches!(record, Record::Ordered { load: true, .. });
+    let ordered = |record: &Record| matches!(record, Record::OrderCompleted { load: true, .. });
     assert!(world.records.iter().filter(|(_, record)| ordered(record)).count() > 1);
 }
--- a/crates/orioleroute/tests/reconcile.rs
+++ b/crates/orioleroute/tests/reconcile.rs
@@ -4,9 +4,9 @@
 
 use std::time::Duration;
 
-use common::{ONE_REGION, Shape, is_whole, owner, request, time_to_answer, world};
+use common::{ONE_REGION, Topology, is_complete, owner, request, time_to_answer, world};
 
-const ONE_ENGINE: Shape = Shape { engines: 1, slots: 1, ..ONE_REGION };
+const ONE_ENGINE: Topology = Topology { engines: 1, slots: 1, ..ONE_REGION };
 
 #[test]
 fn a_revision_that_no_document_has_had_is_unloaded() {
@@ -37,7 +37,7 @@
 
         assert!(taken.is_some(), "adapter {adapter}");
     }
-    assert_eq!(world.checker.breaches(), []);
+    assert_eq!(world.checker.violations(), []);
 }
 
 #[test]
@@ -50,7 +50,7 @@
     world.restart_engine(0);
     world.run(Duration::from_secs(7));
 
-    assert!(is_whole(&world, number), "{:?}", world.outcome(number));
+    assert!(is_complete(&world, number), "{:?}", world.outcome(number));
 }
 
 #[test]
@@ -92,8 +92,8 @@
         let second = world.ask(node, request(1, Duration::from_secs(20)));
         world.run(Duration::from_secs(15));
 
-        assert_eq!(world.checker.breaches(), [], "seed {seed}");
-        assert!(is_whole(&world, first) && is_whole(&world, second), "seed {seed}");
+        assert_eq!(world.checker.violations(), [], "seed {seed}");
+        assert!(is_complete(&world, first) && is_complete(&world, second), "seed {seed}");
     }
 }
 
@@ -106,12 +106,12 @@
             world.run(Duration::from_millis(seed * 10));
             world.kill(0);
             world.start(0);
-            world.freeze(0);
+            world.pause(0);
             world.ask(0, request(second, Duration::from_secs(5)));
             world.run(Duration::from_secs(3));
-            world.wake(0);
+            world.resume(0);
         }
 
-        assert_eq!(world.checker.breaches(), [], "seed {seed}");
+        assert_eq!(world.checker.violations(), [], "seed {seed}");
     }
 }
--- a/crates/orioleroute/tests/regressions.rs
+++ b/crates/orioleroute/tests/regressions.rs
@@ -1,4 +1,4 @@
-//! Fixed histories: one without faults, and those that once broke a promise.
+//! Fixed histories: one without faults, and those that once violated an invariant.
 
 mod histories;
 
@@ -17,7 +17,7 @@
     world.run(Duration::from_secs(5));
     for number in 0..6 {
         assert!(
-            matches!(world.outcome(number), Some(standins::world::Outcome::Whole(_))),
+            matches!(world.outcome(number), Some(standins::world::Outcome::Complete(_))),
             "request {number}: {:?}",
             world.outcome(number)
         );
@@ -37,13 +37,13 @@
     let accepted = |version: u64| {
         move |world: &World| {
             world.records.iter().any(|(_, record)| {
-                matches!(record, Record::Head { version: head, .. } if *head == version)
+                matches!(record, Record::ConfigAccepted { version: head, .. } if *head == version)
             })
         }
     };
     assert!(world.run_until(Duration::from_secs(3), accepted(2)));
     world.platform.faults.replies_lost = false;
-    world.severed.insert(0);
+    world.isolated_from_platform.insert(0);
     world.run(Duration::from_millis(3_000));
     world.command(3, Command::Submit { base: 2, document: document(1).into() });
     let superseded = world.run_until(Duration::from_secs(30), accepted(3));
@@ -51,7 +51,7 @@
     world.run(Duration::from_secs(10));
 
     assert!(superseded);
-    assert_eq!(world.checker.breaches(), []);
+    assert_eq!(world.checker.violations(), []);
 }
 
 #[test]
@@ -68,9 +68,9 @@
 
     // The other region confirms, but neither receives the announcement nor reads the head row.
     for far in NODES_PER_REGION..REGIONS.len() * NODES_PER_REGION {
-        world.severed.insert(far);
+        world.isolated_from_platform.insert(far);
         for near in 0..NODES_PER_REGION {
-            world.cuts.insert((near, far));
+            world.partitions.insert((near, far));
         }
     }
     world.run(Duration::from_millis(4_300));
@@ -81,11 +81,13 @@
     }
     world.run(Duration::from_secs(6));
 
-    let accepted =
-        world.records.iter().any(|(_, record)| matches!(record, Record::Head { version: 2, .. }));
+    let accepted = world
+        .records
+        .iter()
+        .any(|(_, record)| matches!(record, Record::ConfigAccepted { version: 2, .. }));
     assert!(accepted);
     assert_eq!(world.nodes[NODES_PER_REGION].core.as_ref().map(|core| core.version()), Some(1));
-    assert_eq!(world.checker.breaches(), []);
+    assert_eq!(world.checker.violations(), []);
 }
 
 #[test]
@@ -93,45 +95,45 @@
     let seed = 1_466_971_592_330_384_674;
     let ask = |node, adapter| Step::Ask { node, adapter, exact: false };
     let steps = [
-        Step::Freeze(2),
+        Step::Pause(2),
         Step::Wait(5_444),
         ask(4, 3),
         Step::Submit { node: 5, versions: 2 },
-        Step::Sever(0),
+        Step::IsolateFromPlatform(0),
         ask(4, 0),
         Step::Wait(813),
         ask(4, 4),
         Step::Wait(2_614),
         Step::Wait(2_654),
-        Step::Freeze(3),
-        Step::Leave(0),
-        Step::Freeze(0),
+        Step::Pause(3),
+        Step::DrainUpstream(0),
+        Step::Pause(0),
         ask(2, 0),
         ask(4, 0),
         ask(4, 0),
-        Step::Race { one: 2, other: 4 },
+        Step::SubmitConcurrently { one: 2, other: 4 },
         ask(1, 6),
     ];
 
-    let breach = first_breach(seed, &steps, |_| true);
+    let violation = first_violation(seed, &steps, |_| true);
 
-    assert_eq!(breach, None);
+    assert_eq!(violation, None);
 }
 
 #[test]
 fn a_new_owner_unloads_what_its_documents_never_had() {
     let ask = |node, adapter| Step::Ask { node, adapter, exact: false };
     let steps = [
-        vec![Step::Freeze(2), Step::Stop(0), Step::Wait(2_157)],
+        vec![Step::Pause(2), Step::Stop(0), Step::Wait(2_157)],
         vec![Step::Submit { node: 1, versions: 2 }, Step::Wait(1_469), Step::Wait(832), ask(1, 2)],
         vec![Step::Start(0), Step::TableDown, Step::Submit { node: 3, versions: 1 }],
         vec![Step::Submit { node: 0, versions: 1 }, Step::Wait(900), Step::Wait(2_249)],
-        vec![Step::Wake(2), ask(0, 0)],
+        vec![Step::Resume(2), ask(0, 0)],
     ];
 
-    let breach = first_breach(67_676_501_408_195, &steps.concat(), |_| true);
+    let violation = first_violation(67_676_501_408_195, &steps.concat(), |_| true);
 
-    assert_eq!(breach, None);
+    assert_eq!(violation, None);
 }
 
 #[test]
@@ -139,17 +141,17 @@
     let seed = 7_481_773_281_296_995_276;
     let both = |one, other| Step::Both(Box::new(one), Box::new(other));
     let steps = [
-        Step::Freeze(4),
+        Step::Pause(4),
         Step::Wait(1_848),
-        Step::Race { one: 5, other: 2 },
-        both(Step::Kill(4), Step::Freeze(5)),
+        Step::SubmitConcurrently { one: 5, other: 2 },
+        both(Step::Kill(4), Step::Pause(5)),
         Step::Wait(4_725),
         both(Step::ObjectsDown, Step::TableSlow(1_496)),
         Step::Wait(4_550),
         Step::Ask { node: 0, adapter: 2, exact: false },
     ];
 
-    let breach = first_breach(seed, &steps, |_| true);
+    let violation = first_violation(seed, &steps, |_| true);
 
-    assert_eq!(breach, None);
+    assert_eq!(violation, None);
 }
--- a/crates/orioleroute/tests/replies.rs
+++ b/crates/orioleroute/tests/replies.rs
@@ -73,16 +73,16 @@
 }
 
 proptest! {
-    #![proptest_config(histories::proving(histories::histories(300)))]
+    #![proptest_config(histories::proptest_config(histories::histories(300)))]
 
     #[test]
     fn each_request_has_its_own_answer_once(
         seed in any::<u64>(),
-        duplicates in 1..80_u64,
+        duplicate_percent in 1..80_u64,
         asked in prop::collection::vec((0..NODES, 0..12_usize, 0..500_u64), 1..60),
     ) {
         let mut world = world(seed);
-        world.duplicates = duplicates;
+        world.duplicate_percent = duplicate_percent;
         let numbers: Vec<usize> = asked
             .iter()
             .map(|(node, target_index, wait)| {
@@ -93,13 +93,13 @@
             .collect();
         world.run(SETTLED);
 
-        let breaches = world.checker.breaches();
-        prop_assert!(breaches.is_empty(), "{breaches:?}");
+        let violations = world.checker.violations();
+        prop_assert!(violations.is_empty(), "{violations:?}");
         for (number, (_, target_index, _)) in numbers.iter().zip(&asked) {
             let outcome = world.outcome(*number);
             prop_assert!(outcome.is_some(), "request {number} has no answer");
-            let is_whole = matches!(outcome, Some(Outcome::Whole(_)));
-            prop_assert!(*target_index >= 8 || is_whole, "request {number}: {outcome:?}");
+            let is_complete = matches!(outcome, Some(Outcome::Complete(_)));
+            prop_assert!(*target_index >= 8 || is_complete, "request {number}: {outcome:?}");
         }
     }
 }
--- a/crates/orioleroute/tests/retries.rs
+++ b/crates/orioleroute/tests/retries.rs
@@ -45,7 +45,7 @@
 }
 
 fn runs(world: &World) -> usize {
-    world.records.iter().filter(|(_, record)| matches!(record, Record::Began { .. })).count()
+    world.records.iter().filter(|(_, record)| matches!(record, Record::RunStarted { .. })).count()
 }
 
 #[test]
@@ -224,7 +224,7 @@
         let number = world.ask(0, spec(Target::Service("bookings".into())));
         world.run(TIMEOUT);
         assert!(
-            matches!(world.outcome(number), Some(Outcome::Whole(_))),
+            matches!(world.outcome(number), Some(Outcome::Complete(_))),
             "upstream {down} down: {:?}",
             world.outcome(number)
         );
--- a/crates/standins/examples/control_load.rs
+++ b/crates/standins/examples/control_load.rs
@@ -225,10 +225,10 @@
     let mut delays = Vec::new();
     for (at, record) in world.records.iter().filter(|(at, _)| *at >= since) {
         match record {
-            Record::Head { version, .. } => {
+            Record::ConfigAccepted { version, .. } => {
                 accepted.insert(*version, *at);
             }
-            Record::InForce { version, .. } => {
+            Record::ConfigActivated { version, .. } => {
                 delays.extend(accepted.get(version).map(|accepted_at| at.since(*accepted_at)));
             }
             _ => {}
--- a/crates/standins/src/world/caller.rs
+++ b/crates/standins/src/world/caller.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
     /// A complete answer, with the served name that it came from.
-    Whole(String),
+    Complete(String),
     /// A refusal.
     Refused(Refusal),
     /// A partial answer whose connection then broke.
@@ -55,7 +55,7 @@
             timeout: spec.timeout.unwrap_or(DEFAULT_TIMEOUT),
         };
         self.caller_requests.push(request.clone());
-        self.record(Record::Asked(number, request));
+        self.record(Record::RequestSent(number, request));
         if !self.deliver_request(node, spec, number, None) {
             self.record(Record::Answered(number, Outcome::Lost));
         }
@@ -153,7 +153,7 @@
         self.attempts.remove(&(node, request));
         match end {
             AttemptEnd::Complete(name) => {
-                self.finish_request(node, request, Outcome::Whole(name));
+                self.finish_request(node, request, Outcome::Complete(name));
                 self.notify_progress(node, request, Progress::Finished);
             }
             AttemptEnd::Interrupted => {
@@ -195,7 +195,7 @@
                 let local = self.nodes[node].identity.region == self.nodes[to].identity.region;
                 let at =
                     self.now + self.delay(if local { LOCAL_DELAY_US } else { REMOTE_DELAY_US });
-                if self.cuts.contains(&(node, to)) {
+                if self.partitions.contains(&(node, to)) {
                     let progress = Progress::Failed(Failure::Unsent);
                     return self.notify_progress(node, request, progress);
                 }
@@ -235,7 +235,7 @@
         let Some(number) = self.request_numbers.remove(&(node, request)) else { return };
         self.finished.insert((node, request), number);
         match self.parents.remove(&(node, request)) {
-            Some((parent, parent_request)) if self.cuts.contains(&(node, parent)) => {
+            Some((parent, parent_request)) if self.partitions.contains(&(node, parent)) => {
                 self.attempts.remove(&(parent, parent_request));
                 self.notify_progress(parent, parent_request, Progress::Failed(Failure::Broken));
             }
--- a/crates/standins/src/world/check.rs
+++ b/crates/standins/src/world/check.rs
@@ -27,11 +27,11 @@
 
 /// An invariant of the system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Promise {
+pub enum Invariant {
     /// An answer comes from exactly the revision that the request named.
     ExactRevision,
     /// An engine never unloads a revision on which requests run.
-    InUse,
+    NoEvictionInUse,
     /// A caller receives at most one final answer.
     SingleAnswer,
     /// A request is refused as "not run" only if it did not and will not run.
@@ -55,7 +55,7 @@
     AnsweredInTime,
     /// A request that never started to run is refused well before its deadline; see
     /// [`MAX_REFUSAL_WAIT_PERCENT`].
-    Prompt,
+    PromptRefusal,
     /// A graceful shutdown does not drop requests.
     GracefulStop,
     /// After recovery from all faults, every running node has the newest accepted version, and engines
@@ -65,9 +65,9 @@
 
 /// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Breach {
+pub struct Violation {
     /// The invariant.
-    pub promise: Promise,
+    pub invariant: Invariant,
     /// When the violation was detected.
     pub at: Instant,
     /// What happened.
@@ -77,7 +77,7 @@
 /// Checks the invariants record by record.
 #[derive(Default)]
 pub struct Checker {
-    violations: Vec<Breach>,
+    violations: Vec<Violation>,
     requests: BTreeMap<usize, (Instant, CallerRequest)>,
     answered: BTreeSet<usize>,
     paused: BTreeSet<usize>,
@@ -94,49 +94,51 @@
 
 impl Checker {
     /// Returns all violations so far, oldest first.
-    pub fn breaches(&self) -> &[Breach] {
+    pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
 
     /// Checks the next record.
     pub fn handle(&mut self, at: Instant, record: &Record) {
         match record {
-            Record::Asked(number, request) => {
+            Record::RequestSent(number, request) => {
                 self.requests.insert(*number, (at, request.clone()));
             }
             Record::Answered(number, outcome) => {
                 self.check_answer(at, *number, outcome);
                 self.check_answer_time(at, *number, outcome);
             }
-            Record::Began { caller_request, upstream, name, version, node } => {
+            Record::RunStarted { caller_request, upstream, name, version, node } => {
                 self.check_run(at, *caller_request, *upstream, name, *version, *node);
             }
-            Record::Ordered { upstream, load, name, running, .. } => {
+            Record::OrderCompleted { upstream, load, name, running, .. } => {
                 if !load && *running > 0 {
                     let description = format!(
                         "upstream {upstream} unloaded {name}, which ran {running} requests"
                     );
-                    self.report(Promise::InUse, at, description);
+                    self.report(Invariant::NoEvictionInUse, at, description);
                 }
             }
-            Record::Took { upstream, fencing } => self.check_fencing(at, *upstream, *fencing),
+            Record::OrderAccepted { upstream, fencing } => {
+                self.check_fencing(at, *upstream, *fencing)
+            }
             Record::DrainStarted(upstream) => {
                 self.draining_since.entry(*upstream).or_insert(at);
             }
             Record::Submitted { ticket, object, document } => {
                 self.config.record_submission(*ticket, object, document);
             }
-            Record::Head { version, object } => {
+            Record::ConfigAccepted { version, object } => {
                 let violations = self.config.record_accepted(at, *version, object);
                 self.violations.extend(violations);
             }
             Record::OperatorAnswered { ticket, answer } => self.check_reply(at, *ticket, answer),
-            Record::InForce { node, incarnation, version } => {
+            Record::ConfigActivated { node, incarnation, version } => {
                 let last = self.versions.insert((*node, *incarnation), *version);
                 if last.is_some_and(|last| last > *version) {
                     let description =
                         format!("node {node} changed to version {version} after {last:?}");
-                    self.report(Promise::NoRevert, at, description);
+                    self.report(Invariant::NoRevert, at, description);
                 }
             }
             Record::Paused(node) => {
@@ -162,7 +164,7 @@
         if fencing < *last {
             let description =
                 format!("upstream {upstream} accepted fencing token {fencing} after {last}");
-            self.report(Promise::MonotonicFencing, at, description);
+            self.report(Invariant::MonotonicFencing, at, description);
         } else {
             *last = fencing;
         }
@@ -170,7 +172,7 @@
 
     fn check_reply(&mut self, at: Instant, ticket: u64, answer: &Answer) {
         if let Some(description) = self.config.record_answer(ticket, answer) {
-            self.report(Promise::AccurateAnswers, at, description);
+            self.report(Invariant::AccurateAnswers, at, description);
         }
     }
 
@@ -185,15 +187,15 @@
             if *version != newest {
                 let description =
                     format!("node {node} has version {version}, the newest accepted is {newest}");
-                self.report(Promise::Converged, at, description);
+                self.report(Invariant::Converged, at, description);
             }
         }
         for (engine, name) in unlisted {
-            self.report(Promise::Converged, at, format!("upstream {engine} still holds {name}"));
+            self.report(Invariant::Converged, at, format!("upstream {engine} still holds {name}"));
         }
         let unanswered = self.requests.keys().filter(|number| !self.answered.contains(number));
         for number in unanswered.copied().collect::<Vec<_>>() {
-            self.report(Promise::AnsweredInTime, at, format!("request {number} has no answer"));
+            self.report(Invariant::AnsweredInTime, at, format!("request {number} has no answer"));
         }
     }
 
@@ -205,7 +207,7 @@
             if self.last_graceful_exit == Some((at, node)) && since < at {
                 let description =
                     format!("node {node} dropped request {number} in a graceful shutdown");
-                self.report(Promise::GracefulStop, at, description);
+                self.report(Invariant::GracefulStop, at, description);
             }
             return;
         }
@@ -215,23 +217,23 @@
         let elapsed = at.since(since);
         if elapsed > timeout + ANSWER_GRACE {
             let description = format!("request {number} was answered after {elapsed:?}");
-            self.report(Promise::AnsweredInTime, at, description);
+            self.report(Invariant::AnsweredInTime, at, description);
         }
         // A request that started to run on an upstream may be answered up to the deadline.
         let too_late =
             elapsed * 100 > timeout * MAX_REFUSAL_WAIT_PERCENT && !self.started.contains(&number);
         if matches!(outcome, Outcome::Refused(_)) && too_late {
             let description = format!("request {number} waited {elapsed:?} until {outcome:?}");
-            self.report(Promise::Prompt, at, description);
+            self.report(Invariant::PromptRefusal, at, description);
         }
     }
 
     fn check_answer(&mut self, at: Instant, number: usize, outcome: &Outcome) {
         if !self.answered.insert(number) {
-            self.report(Promise::SingleAnswer, at, format!("request {number} got two answers"));
+            self.report(Invariant::SingleAnswer, at, format!("request {number} got two answers"));
         }
         match outcome {
-            Outcome::Whole(name) => {
+            Outcome::Complete(name) => {
                 let target = self.requests.get(&number).map(|(_, request)| &request.target);
                 let Some(Target::Model(model)) = target else { return };
                 let is_named = match model.contains('@') {
@@ -241,14 +243,14 @@
                 if !is_named {
                     let description =
                         format!("request {number} for {model} was answered by {name}");
-                    self.report(Promise::ExactRevision, at, description);
+                    self.report(Invariant::ExactRevision, at, description);
                 }
             }
             Outcome::Refused(refusal) if refusal.ran == Ran::NotRun => {
                 if self.started.contains(&number) {
                     let description =
                         format!("request {number} was refused as not run after it started to run");
-                    self.report(Promise::NotRun, at, description);
+                    self.report(Invariant::NotRun, at, description);
                 }
                 self.refused_not_run.insert(number);
             }
@@ -269,14 +271,14 @@
         if self.refused_not_run.contains(&number) {
             let description =
                 format!("request {number} started to run after it was refused as not run");
-            self.report(Promise::NotRun, at, description);
+            self.report(Invariant::NotRun, at, description);
         }
         if self.draining_since.get(&upstream).is_some_and(|since| at > *since + DRAIN_LIMIT) {
             let description = format!("request {number} started on draining upstream {upstream}");
-            self.report(Promise::NoWorkWhileDraining, at, description);
+            self.report(Invariant::NoWorkWhileDraining, at, description);
         }
         if let Some(description) = self.check_version(at, number, name, version) {
-            self.report(Promise::ConfigPropagation, at, format!("{description} (node {node})"));
+            self.report(Invariant::ConfigPropagation, at, format!("{description} (node {node})"));
         }
         let request = self.requests.get(&number).map(|(_, request)| request);
         let Some(request) = request.filter(|request| !request.repeatable) else { return };
@@ -284,7 +286,7 @@
         let runs = self.run_counts.entry(id.clone()).or_default();
         *runs += 1;
         if *runs > 1 {
-            self.report(Promise::AtMostOnce, at, format!("{id} ran more than once"));
+            self.report(Invariant::AtMostOnce, at, format!("{id} ran more than once"));
         }
     }
 
@@ -310,7 +312,7 @@
             .then(|| format!("{description}, due on arrival {oldest}, due now {due}"))
     }
 
-    fn report(&mut self, promise: Promise, at: Instant, description: String) {
-        self.violations.push(Breach { promise, at, description });
+    fn report(&mut self, invariant: Invariant, at: Instant, description: String) {
+        self.violations.push(Violation { invariant, at, description });
     }
 }
--- a/crates/standins/src/world/check/config.rs
+++ b/crates/standins/src/world/check/config.rs
@@ -7,7 +7,7 @@
 use orioleroute::request::Target;
 use serde_json::Value;
 
-use super::{Breach, CONFIG_PROPAGATION_LIMIT, Promise};
+use super::{CONFIG_PROPAGATION_LIMIT, Invariant, Violation};
 
 /// The accepted versions and the submissions, each with the key of the object that holds its document.
 #[derive(Default)]
@@ -61,17 +61,17 @@
     }
 
     /// Records that a version was accepted, and returns the violations.
-    pub fn record_accepted(&mut self, at: Instant, version: u64, object: &str) -> Vec<Breach> {
+    pub fn record_accepted(&mut self, at: Instant, version: u64, object: &str) -> Vec<Violation> {
         let mut violations = Vec::new();
         let newest = self.newest();
         if version <= newest {
             let description = format!("{object} was accepted with a version not above {newest}");
-            violations.push(Breach { promise: Promise::NoFork, at, description });
+            violations.push(Violation { invariant: Invariant::NoFork, at, description });
         }
         if self.reported_not_accepted.contains(object) {
             let description =
                 format!("{object} was accepted after it was answered as not accepted");
-            violations.push(Breach { promise: Promise::AccurateAnswers, at, description });
+            violations.push(Violation { invariant: Invariant::AccurateAnswers, at, description });
         }
         self.accepted_versions.push((at, version, object.to_owned()));
         violations
--- a/crates/standins/src/world/engine.rs
+++ b/crates/standins/src/world/engine.rs
@@ -176,7 +176,7 @@
         let load = matches!(order.order, engine::Order::Load { .. });
         let time = if load { engine.load_time } else { Duration::ZERO };
         let (upstream, fencing) = (order.engine, order.fencing);
-        self.record(Record::Took { upstream, fencing });
+        self.record(Record::OrderAccepted { upstream, fencing });
         self.queue.push(self.now + time, Delivery::OrderFinished(order));
     }
 
@@ -202,7 +202,7 @@
             engine.loaded.remove(&name);
         }
         let lost = engine.faults.order_replies_lost;
-        self.record(Record::Ordered {
+        self.record(Record::OrderCompleted {
             upstream: order.engine,
             node: order.node,
             load,
@@ -249,7 +249,7 @@
         engine.runs.insert(run, Run { attempt, name: name.clone(), streams_from });
         let end = self.now + engine.run_time;
         let node = attempt.node;
-        self.record(Record::Began { caller_request, upstream, name, node, version });
+        self.record(Record::RunStarted { caller_request, upstream, name, node, version });
         self.queue.push(end, Delivery::RunFinished { upstream, run });
     }
 
--- a/crates/standins/src/world/faults.rs
+++ b/crates/standins/src/world/faults.rs
@@ -21,7 +21,7 @@
             engine.report_lag = Duration::ZERO;
         }
         for node in 0..self.nodes.len() {
-            self.wake(node);
+            self.resume(node);
         }
         self.run(span / 2);
         for node in 0..self.nodes.len() {
--- a/crates/standins/src/world/mod.rs
+++ b/crates/standins/src/world/mod.rs
@@ -50,7 +50,7 @@
     skew: Duration,
     /// When the newest list of upstreams reaches it.
     listing_due: Instant,
-    /// The configuration version in the last [`Record::InForce`].
+    /// The configuration version in the last [`Record::ConfigActivated`].
     recorded_version: u64,
     /// Counters of its traffic and work.
     pub counts: Counts,
@@ -101,11 +101,11 @@
     /// How messages between nodes are duplicated and delayed.
     pub network: Network,
     /// Pairs `(from, to)` of nodes between which messages are lost.
-    pub cuts: BTreeSet<(usize, usize)>,
+    pub partitions: BTreeSet<(usize, usize)>,
     /// Nodes that cannot reach the platform.
-    pub severed: BTreeSet<usize>,
+    pub isolated_from_platform: BTreeSet<usize>,
     /// Percentage of replies and messages that arrive a second time, later.
-    pub duplicates: u64,
+    pub duplicate_percent: u64,
     /// Answers to operators, by ticket.
     pub answers: BTreeMap<u64, Answer>,
     caller_requests: Vec<CallerRequest>,
@@ -152,9 +152,9 @@
             records: Vec::new(),
             checker: check::Checker::default(),
             network: Network::default(),
-            cuts: BTreeSet::new(),
-            severed: BTreeSet::new(),
-            duplicates: 0,
+            partitions: BTreeSet::new(),
+            isolated_from_platform: BTreeSet::new(),
+            duplicate_percent: 0,
             answers: BTreeMap::new(),
             caller_requests: Vec::new(),
             request_numbers: BTreeMap::new(),
@@ -233,7 +233,7 @@
     }
 
     /// Pauses a node's process.
-    pub fn freeze(&mut self, number: usize) {
+    pub fn pause(&mut self, number: usize) {
         if self.nodes[number].core.is_some() && !self.nodes[number].paused {
             self.nodes[number].paused = true;
             self.record(Record::Paused(number));
@@ -243,7 +243,7 @@
     /// Resumes a paused process.
     ///
     /// With a probability of one half, it handles a tick before the events that arrived meanwhile.
-    pub fn wake(&mut self, number: usize) {
+    pub fn resume(&mut self, number: usize) {
         if !self.nodes[number].paused {
             return;
         }
@@ -258,15 +258,15 @@
     }
 
     /// Drops all messages between two nodes, in both directions.
-    pub fn cut(&mut self, one: usize, other: usize) {
-        self.cuts.insert((one, other));
-        self.cuts.insert((other, one));
+    pub fn partition(&mut self, one: usize, other: usize) {
+        self.partitions.insert((one, other));
+        self.partitions.insert((other, one));
     }
 
     /// Ends all faults of the network and of the platform.
     pub fn heal(&mut self) {
-        self.cuts.clear();
-        self.severed.clear();
+        self.partitions.clear();
+        self.isolated_from_platform.clear();
         self.network = Network::default();
         self.platform.faults = Faults::default();
     }
@@ -297,7 +297,7 @@
     }
 
     /// Starts to drain an upstream, which nodes learn from the list.
-    pub fn let_leave(&mut self, upstream: usize) {
+    pub fn drain_upstream(&mut self, upstream: usize) {
         self.engines[upstream].listing.phase = Phase::Leaving;
         self.record(Record::DrainStarted(upstream));
         self.publish();
@@ -368,7 +368,7 @@
         if version != node.recorded_version {
             node.recorded_version = version;
             let incarnation = node.identity.incarnation;
-            self.record(Record::InForce { node: number, incarnation, version });
+            self.record(Record::ConfigActivated { node: number, incarnation, version });
         }
         self.current_submission = command;
         for effect in effects {
@@ -437,7 +437,8 @@
     fn maybe_duplicate(&mut self, node: usize, incarnation: u64, event: &Event) {
         // Nodes poll the list, so an older one never arrives after a newer one.
         let is_reply = !matches!(event, Event::UpstreamsListed(_));
-        if self.duplicates > 0 && is_reply && self.random_below(100) < self.duplicates {
+        if self.duplicate_percent > 0 && is_reply && self.random_below(100) < self.duplicate_percent
+        {
             let at = self.now + self.delay(DUPLICATE_DELAY_US);
             let event = event.clone();
             self.queue.push(at, Delivery::Event { node, incarnation, event });
--- a/crates/standins/src/world/network.rs
+++ b/crates/standins/src/world/network.rs
@@ -13,11 +13,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Network {
     /// Percentage of messages that arrive twice.
-    pub doubled: u64,
+    pub duplicate_percent: u64,
     /// Percentage of messages that are delayed, so that later ones may overtake them.
-    pub delayed: u64,
+    pub delay_percent: u64,
     /// Upper bound of the extra delay of such a message.
-    pub delay: Duration,
+    pub max_delay: Duration,
 }
 
 impl World {
@@ -27,10 +27,10 @@
         let counts = &mut self.nodes[from].counts;
         counts.messages += 1;
         counts.bytes += bytes as u64;
-        if self.cuts.contains(&(from, to)) || to >= self.nodes.len() {
+        if self.partitions.contains(&(from, to)) || to >= self.nodes.len() {
             return;
         }
-        if self.random_chance(self.network.doubled) {
+        if self.random_chance(self.network.duplicate_percent) {
             self.push_message(from, to, message.clone());
         }
         self.push_message(from, to, message);
@@ -39,8 +39,8 @@
     fn push_message(&mut self, from: usize, to: usize, message: Message) {
         let local = self.nodes[from].identity.region == self.nodes[to].identity.region;
         let mut delay = self.delay(if local { LOCAL_DELAY_US } else { REMOTE_DELAY_US });
-        if self.random_chance(self.network.delayed) {
-            let longest = self.network.delay.as_micros() as u64;
+        if self.random_chance(self.network.delay_percent) {
+            let longest = self.network.max_delay.as_micros() as u64;
             delay += self.delay((0, longest.max(1)));
         }
         let name = self.nodes[from].identity.name.clone();
--- a/crates/standins/src/world/platform.rs
+++ b/crates/standins/src/world/platform.rs
@@ -26,9 +26,9 @@
     /// The table applies operations, but its replies are lost.
     pub replies_lost: bool,
     /// Extra delay before writes take effect, which the node may no longer wait for.
-    pub writes_late: Option<Duration>,
+    pub write_delay: Option<Duration>,
     /// Extra time until a reply, which the node may no longer wait for.
-    pub slow: Duration,
+    pub reply_delay: Duration,
     /// The object store fails all reads and writes.
     pub objects_down: bool,
 }
@@ -87,7 +87,7 @@
         }
         let incarnation = self.nodes[node].identity.incarnation;
         let faults = self.platform.faults;
-        if faults.table_down || self.severed.contains(&node) {
+        if faults.table_down || self.isolated_from_platform.contains(&node) {
             let outcome = Outcome::Unknown;
             let event = Event::Table { ticket, outcome };
             self.queue
@@ -95,10 +95,10 @@
             return;
         }
         let write_delay = match operation {
-            Operation::Write(_) => faults.writes_late.unwrap_or_default(),
+            Operation::Write(_) => faults.write_delay.unwrap_or_default(),
             Operation::Read(_) => Duration::ZERO,
         };
-        let delay = self.delay(DELAY_US) + write_delay + faults.slow / 2;
+        let delay = self.delay(DELAY_US) + write_delay + faults.reply_delay / 2;
         let timed_out = delay >= OPERATION_TIMEOUT;
         if timed_out {
             let event = Event::Table { ticket, outcome: Outcome::Unknown };
@@ -126,8 +126,8 @@
         // The node has already seen a timeout.
         let Some(ticket) = ticket else { return };
         let faults = self.platform.faults;
-        let reply_lost = faults.replies_lost || self.severed.contains(&node);
-        let at = self.now + self.delay(DELAY_US) + faults.slow / 2;
+        let reply_lost = faults.replies_lost || self.isolated_from_platform.contains(&node);
+        let at = self.now + self.delay(DELAY_US) + faults.reply_delay / 2;
         let deadline = issued_at + OPERATION_TIMEOUT;
         let (outcome, at) = match reply_lost || at >= deadline {
             true => (Outcome::Unknown, deadline),
@@ -143,7 +143,7 @@
         let Some(value) = head.and_then(|write| write.value.as_deref()) else { return };
         let Ok(Mark { version, token }) = serde_json::from_str(value) else { return };
         let object = format!("config/{version}-{token:016x}.json");
-        self.record(Record::Head { version, object });
+        self.record(Record::ConfigAccepted { version, object });
     }
 
     pub(super) fn put_object(
@@ -153,7 +153,8 @@
         key: &Arc<str>,
         value: &Arc<str>,
     ) {
-        let stored = !self.platform.faults.objects_down && !self.severed.contains(&node);
+        let stored =
+            !self.platform.faults.objects_down && !self.isolated_from_platform.contains(&node);
         if stored {
             self.platform.objects.insert(key.clone(), value.clone());
         }
@@ -162,7 +163,8 @@
     }
 
     pub(super) fn get_object(&mut self, node: usize, ticket: Ticket, key: &Arc<str>) {
-        let reachable = !self.platform.faults.objects_down && !self.severed.contains(&node);
+        let reachable =
+            !self.platform.faults.objects_down && !self.isolated_from_platform.contains(&node);
         let value = self.platform.objects.get(key).filter(|_| reachable).cloned();
         let event = Event::ObjectRead { ticket, value };
         self.reply(node, event);
--- a/crates/standins/src/world/record.rs
+++ b/crates/standins/src/world/record.rs
@@ -9,11 +9,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
     /// A caller sent the request with this number.
-    Asked(usize, CallerRequest),
+    RequestSent(usize, CallerRequest),
     /// The caller of the request with this number got its final answer.
     Answered(usize, Outcome),
     /// An upstream started to run a request.
-    Began {
+    RunStarted {
         /// The number of the caller's request.
         caller_request: usize,
         /// The upstream.
@@ -26,14 +26,14 @@
         version: u64,
     },
     /// An engine accepted an order and started it.
-    Took {
+    OrderAccepted {
         /// The engine.
         upstream: usize,
         /// The fencing token of the order.
         fencing: u64,
     },
     /// An engine completed an order.
-    Ordered {
+    OrderCompleted {
         /// The engine.
         upstream: usize,
         /// The node that issued the order.
@@ -64,14 +64,14 @@
         answer: Answer,
     },
     /// The table row that holds the accepted version was written.
-    Head {
+    ConfigAccepted {
         /// The version.
         version: u64,
         /// The key of the object that holds the document.
         object: String,
     },
     /// A node's active configuration version changed.
-    InForce {
+    ConfigActivated {
         /// The node.
         node: usize,
         /// Its incarnation.
