--- a/crates/oriolectl/tests/commands.rs
+++ b/crates/oriolectl/tests/commands.rs
@@ -6,8 +6,10 @@
 
 use rstest::rstest;
 use serde_json::{Value, json};
-use standins::process::{Process, binary};
-use standins::system::{self, OPERATOR_TOKEN, listing, node, publish, status, until};
+use standins::process::{Process, binary_path};
+use standins::system::{
+    self, OPERATOR_TOKEN, listing, publish_listings, start_node, status, wait_until,
+};
 
 fn run(arguments: &[&str]) -> Output {
     let program = env!("CARGO_BIN_EXE_oriolectl");
@@ -71,19 +73,21 @@
 
 #[test]
 fn status_covers_all_regions_and_a_conflicting_submission_names_the_accepted_version() {
-    let platform = system::platform();
-    let engines = [system::engine(Default::default()), system::engine(Default::default())];
-    publish(
+    let platform = system::start_platform();
+    let engines =
+        [system::start_engine(Default::default()), system::start_engine(Default::default())];
+    publish_listings(
         platform,
         &[
             listing("engine-1", "coaching", "zurich", engines[0]),
             listing("engine-2", "coaching", "geneva", engines[1]),
         ],
     );
-    let program = binary("orioleroute-node").expect("the own path is known");
-    let start = |name, region| node(&program, name, region, platform, &[]).expect("it starts");
+    let program = binary_path("orioleroute-node").expect("the own path is known");
+    let start =
+        |name, region| start_node(&program, name, region, platform, &[]).expect("it starts");
     let nodes = [start("a", "zurich"), start("b", "geneva")];
-    until("two members", || {
+    wait_until("two members", || {
         nodes.iter().all(|node| status(node).is_some_and(|status| status.instances.len() == 2))
     });
     let operators = |node: &Process| node.address("operators").expect("it printed its addresses");
@@ -100,7 +104,7 @@
     let shown = || -> Value {
         serde_json::from_slice(&ask(asked, &["--json", "status"]).stdout).unwrap_or_default()
     };
-    until("both regions have loaded it", || {
+    wait_until("both regions have loaded it", || {
         let status = shown();
         let holds = |region: &str| {
             let mut upstreams = status["upstreams"].as_array().into_iter().flatten();
@@ -110,7 +114,7 @@
     });
     let [_a, b] = nodes;
     drop(b);
-    until("the dead instance is unknown", || {
+    wait_until("the dead instance is unknown", || {
         let status = shown();
         let mut instances = status["instances"].as_array().into_iter().flatten();
         instances.any(|it| it["name"] == "b" && it["version"].is_null())
@@ -119,14 +123,14 @@
 
 #[test]
 fn diff_explain_and_drain_answer_an_operator() {
-    let platform = system::platform();
-    let engine = system::engine(Default::default());
-    publish(platform, &[listing("engine-1", "coaching", "zurich", engine)]);
-    let program = binary("orioleroute-node").expect("the own path is known");
-    let mut node = node(&program, "a", "zurich", platform, &[]).expect("it starts");
+    let platform = system::start_platform();
+    let engine = system::start_engine(Default::default());
+    publish_listings(platform, &[listing("engine-1", "coaching", "zurich", engine)]);
+    let program = binary_path("orioleroute-node").expect("the own path is known");
+    let mut node = start_node(&program, "a", "zurich", platform, &[]).expect("it starts");
     let asked = node.address("operators").expect("it printed its addresses");
     let (first, second) = (file("before", &document("v1")), file("after", &document("v2")));
-    until("the first document is accepted", || {
+    wait_until("the first document is accepted", || {
         ask(asked, &["--base", "0", "submit", &first]).status.success()
     });
 
--- a/crates/orioleroute-node/tests/bad_input.rs
+++ b/crates/orioleroute-node/tests/bad_input.rs
@@ -7,7 +7,7 @@
 
 use rstest::rstest;
 use standins::process::Process;
-use standins::system::{self, OPERATOR_TOKEN, PEER_TOKEN, node};
+use standins::system::{self, OPERATOR_TOKEN, PEER_TOKEN, start_node};
 
 /// The longest wait for an answer; the limits set in [`start`] are well below it.
 const TIMEOUT: Duration = Duration::from_secs(5);
@@ -23,7 +23,7 @@
         ("--connections", "8"),
     ];
     let limits: Vec<&str> = limits.iter().flat_map(|(flag, value)| [*flag, *value]).collect();
-    node(program, "a", "zurich", system::platform(), &limits).expect("the node starts")
+    start_node(program, "a", "zurich", system::start_platform(), &limits).expect("the node starts")
 }
 
 fn connect(node: &Process, listener: &str) -> TcpStream {
--- a/crates/orioleroute-node/tests/faults.rs
+++ b/crates/orioleroute-node/tests/faults.rs
@@ -8,9 +8,9 @@
 use http::StatusCode;
 use nix::sys::signal::Signal;
 use rstest::rstest;
-use standins::link::Link;
 use standins::process::Process;
-use standins::system::{self, set_faults, until};
+use standins::proxy::TcpProxy;
+use standins::system::{self, set_faults, wait_until};
 use standins::{engine, platform, service};
 use support::{
     System, book, complete, complete_within, disconnect_early, is_served_by, ran, receive, send,
@@ -35,11 +35,11 @@
     assert!(forwarded.ends_with_error(), "{} {:?}", forwarded.text, forwarded.error);
     assert!(direct.join().expect("it was read").error.is_some());
     let addresses = [system.callers(others[0]), system.callers(others[1])];
-    until("a successor answers", || {
+    wait_until("a successor answers", || {
         is_served_by(complete(addresses[0], "milk", "after").as_ref(), "milk@v1")
     });
     println!("figure: {:?} from the kill to the first answer", killed.elapsed());
-    until("the other node answers too", || {
+    wait_until("the other node answers too", || {
         is_served_by(complete(addresses[1], "milk", "after").as_ref(), "milk@v1")
     });
     system.nodes.remove(home);
@@ -55,15 +55,15 @@
     set_faults(system.service, &service::Faults { delay_ms: 1_500, replies_lost: false });
     let address = system.callers(home);
     let booking = std::thread::spawn(move || book(address, "frozen"));
-    until("the booking runs", || system.runs("frozen") == 1);
+    wait_until("the booking runs", || system.runs("frozen") == 1);
 
     system.nodes[home].signal(Signal::SIGSTOP).expect("it runs");
     let again = book(system.callers(other), "frozen").expect("it answers");
-    until("the paused node is removed", || {
+    wait_until("the paused node is removed", || {
         system::status(&system.nodes[other]).is_some_and(|status| status.instances.len() == 2)
     });
     system.submit(other, 1, "v2");
-    until("the other nodes answer", || {
+    wait_until("the other nodes answer", || {
         is_served_by(complete(system.callers(other), "milk", "meanwhile").as_ref(), "milk@v2")
     });
     let running = stream(system.callers(other), "milk", 300);
@@ -81,7 +81,7 @@
     assert_eq!(first.status, StatusCode::OK);
     assert!(running.join().expect("it was read").is_complete(300));
     system.wait_for_members(3);
-    until("it uses the new configuration", || {
+    wait_until("it uses the new configuration", || {
         is_served_by(complete(address, "milk", "later").as_ref(), "milk@v2")
     });
     assert_eq!(system.runs("frozen"), 1);
@@ -90,20 +90,20 @@
 
 #[test]
 fn a_stream_over_a_cut_connection_is_resumed() {
-    let engines = [system::engine(engine::Settings::default())];
-    let link = Link::to(engines[0]).expect("a port is free");
-    let system = System::with_engines(2, &engines, &[link.address]);
+    let engines = [system::start_engine(engine::Settings::default())];
+    let proxy = TcpProxy::start(engines[0]).expect("a port is free");
+    let system = System::with_engines(2, &engines, &[proxy.address]);
     let address = system.callers(system.home(0, "milk"));
     let cut = stream(address, "milk", 300);
 
-    assert!(link.cut() > 0);
+    assert!(proxy.close_connections() > 0);
 
     let cut = cut.join().expect("it was read");
     assert!(cut.is_complete(300), "{} {:?}", cut.text, cut.error);
-    until("a new connection answers", || {
+    wait_until("a new connection answers", || {
         is_served_by(complete(address, "milk", "after").as_ref(), "milk@v1")
     });
-    until("the engine has ended every run", || {
+    wait_until("the engine has ended every run", || {
         let history = system.history();
         let ends = history.iter().filter(|entry| entry["event"] == "end").count();
         let begins = ["begin", "resume"];
@@ -122,7 +122,7 @@
     let mut answers = 0;
 
     // After three lease periods, every lease that the table confirmed has expired.
-    until("three lease periods have passed", || {
+    wait_until("three lease periods have passed", || {
         let answer = complete(address, "milk@v1", "meanwhile");
         assert!(is_served_by(answer.as_ref(), "milk@v1"), "{answer:?}");
         answers += 1;
@@ -141,7 +141,7 @@
     assert_eq!(system.runs("outage"), 0);
     assert!(waited < IMMEDIATE, "{waited:?}");
     set_faults(system.platform, &platform::Faults::default());
-    until("the booking runs", || {
+    wait_until("the booking runs", || {
         book(address, "outage").is_some_and(|answer| answer.status == StatusCode::OK)
     });
     assert_eq!(system.runs("outage"), 1);
@@ -162,7 +162,7 @@
 
     assert_eq!(ran(&refused), Some("not-run"));
     assert_eq!(runs, 0);
-    until("the booking runs", || {
+    wait_until("the booking runs", || {
         book(address, "lost").is_some_and(|answer| answer.status == StatusCode::OK)
     });
     let again = book(system.callers(1), "lost").expect("it answers");
@@ -172,7 +172,7 @@
 
 #[test]
 fn a_restarted_engine_is_loaded_again() {
-    let engines = [system::engine(engine::Settings::default())];
+    let engines = [system::start_engine(engine::Settings::default())];
     let system = System::with_engines(2, &engines, &engines);
     let address = system.callers(0);
     assert!(is_served_by(complete(address, "milk", "before").as_ref(), "milk@v1"));
@@ -205,12 +205,12 @@
 
 #[test]
 fn a_stalled_stream_is_resumed() {
-    let engines = [system::engine(engine::Settings::default())];
-    let link = Link::to(engines[0]).expect("a port is free");
-    let system = System::with_engines(2, &engines, &[link.address]);
+    let engines = [system::start_engine(engine::Settings::default())];
+    let proxy = TcpProxy::start(engines[0]).expect("a port is free");
+    let system = System::with_engines(2, &engines, &[proxy.address]);
     let stalled = stream(system.callers(system.home(0, "milk")), "milk", 300);
 
-    link.stall();
+    proxy.drop_traffic();
 
     let stalled = stalled.join().expect("it was read");
     assert!(stalled.is_complete(300), "{} {:?}", stalled.text, stalled.error);
@@ -237,7 +237,7 @@
     system.nodes.remove(leaving);
     system.wait_for_members(2);
     let address = system.callers(1);
-    until("the new node answers", || {
+    wait_until("the new node answers", || {
         is_served_by(complete(address, "milk", "after").as_ref(), "milk@v1")
     });
     system.assert_nothing_evicted_in_use();
@@ -245,7 +245,7 @@
 
 #[test]
 fn a_late_answer_reaches_no_other_caller() {
-    let engines = [system::engine(engine::Settings::default())];
+    let engines = [system::start_engine(engine::Settings::default())];
     let system = System::with_engines(2, &engines, &engines);
     let address = system.callers(system.home(0, "milk"));
     for model in ["milk@v1", "milk@v2"] {
@@ -280,7 +280,7 @@
 
     disconnect_early(system.callers(asked), "milk", 1_000);
 
-    let ended = until("the engine ends the request", || {
+    let ended = wait_until("the engine ends the request", || {
         system.history().iter().any(|entry| entry["event"] == "end")
     });
     // The whole stream would last ten seconds.
--- a/crates/orioleroute-node/tests/path.rs
+++ b/crates/orioleroute-node/tests/path.rs
@@ -12,7 +12,9 @@
 use serde_json::{Value, json};
 use standins::engine::Settings;
 use standins::process::Process;
-use standins::system::{self, call, listing, node, publish, status, until};
+use standins::system::{
+    self, listing, publish_listings, send_request, start_node, status, wait_until,
+};
 
 const REGION: &str = "zurich";
 
@@ -38,26 +40,28 @@
 
 /// Starts a platform, two engines and two nodes, and waits until a document is active on both nodes.
 fn system() -> Vec<Process> {
-    let platform = system::platform();
-    let engines = [system::engine(Settings::default()), system::engine(Settings::default())];
-    publish(
+    let platform = system::start_platform();
+    let engines =
+        [system::start_engine(Settings::default()), system::start_engine(Settings::default())];
+    publish_listings(
         platform,
         &[
             listing("engine-1", "coaching", REGION, engines[0]),
             listing("engine-2", "coaching", REGION, engines[1]),
-            listing("course", "course", REGION, system::service()),
+            listing("course", "course", REGION, system::start_service()),
         ],
     );
     let nodes: Vec<Process> = ["a", "b"]
         .iter()
-        .map(|name| node(program(), name, REGION, platform, &[]).expect("the node starts"))
+        .map(|name| start_node(program(), name, REGION, platform, &[]).expect("the node starts"))
         .collect();
-    until("two members", || {
+    wait_until("two members", || {
         nodes.iter().all(|node| status(node).is_some_and(|status| status.instances.len() == 2))
     });
-    let submitted = system::command(&nodes[0], &Command::Submit { base: 0, document: document() });
+    let submitted =
+        system::send_command(&nodes[0], &Command::Submit { base: 0, document: document() });
     assert_eq!(submitted, Some(Answer::Accepted { version: 1 }));
-    until("the document is active on both nodes", || {
+    wait_until("the document is active on both nodes", || {
         nodes.iter().all(|node| status(node).is_some_and(|status| status.version == 1))
     });
     nodes
@@ -69,7 +73,7 @@
 
 fn complete(node: &Process, model: &str) -> HttpAnswer {
     let body = json!({ "model": model, "max_tokens": 3, "prompt": "hello" });
-    call(callers(node), Call::new(Method::POST, "/v1/completions").json(&body))
+    send_request(callers(node), Call::new(Method::POST, "/v1/completions").json(&body))
         .expect("the node answers")
 }
 
@@ -91,7 +95,8 @@
 fn answers_have_the_shapes_that_client_libraries_expect() {
     let nodes = system();
     let address = callers(&nodes[0]);
-    let models = call(address, Call::new(Method::GET, "/v1/models")).expect("the node answers");
+    let models =
+        send_request(address, Call::new(Method::GET, "/v1/models")).expect("the node answers");
     let models: Value = serde_json::from_slice(&models.body).expect("it is JSON");
     assert_eq!(models["object"], "list");
     assert_eq!(models["data"][0]["object"], "model");
@@ -100,7 +105,7 @@
     let body = json!({ "model": "milk", "max_tokens": 3, "messages": messages, "stream": true,
                        "stream_options": { "include_usage": true } });
     let chat = Call::new(Method::POST, "/v1/chat/completions").json(&body);
-    let answer = call(address, chat).expect("the node answers");
+    let answer = send_request(address, chat).expect("the node answers");
     assert_eq!(answer.headers["content-type"], "text/event-stream");
     assert_eq!(answer.headers["x-served-adapter"], "milk");
     let text = String::from_utf8(answer.body.to_vec()).expect("it is text");
@@ -132,7 +137,7 @@
         let request = Call::new(Method::POST, "/services/bookings/enrol")
             .header("idempotency-key", "booking-1")
             .body("text/plain", "one seat");
-        call(callers(node), request).expect("the node answers").status
+        send_request(callers(node), request).expect("the node answers").status
     };
     assert_eq!(book(&nodes[0]), StatusCode::OK);
     assert_eq!(book(&nodes[1]), StatusCode::CONFLICT);
@@ -145,7 +150,7 @@
         let request = Call::new(Method::POST, "/services/notes/draft")
             .header("idempotency-key", "draft-1")
             .body("text/plain", "crema");
-        let answer = call(callers(node), request).expect("the node answers");
+        let answer = send_request(callers(node), request).expect("the node answers");
         assert_eq!(answer.status, StatusCode::OK);
     }
 }
@@ -156,7 +161,9 @@
     nodes[0].signal(Signal::SIGTERM).expect("it runs");
     let ended = nodes[0].wait(Duration::from_secs(10)).expect("it ends");
     assert!(ended.success());
-    until("one member", || status(&nodes[1]).is_some_and(|status| status.instances.len() == 1));
+    wait_until("one member", || {
+        status(&nodes[1]).is_some_and(|status| status.instances.len() == 1)
+    });
     assert_eq!(complete(&nodes[1], "milk").status, StatusCode::OK);
 }
 
@@ -168,7 +175,8 @@
     complete(&nodes[0], "nobody@v9");
     let scrape = |node: &Process| {
         let address = node.address("operators").expect("the node printed its addresses");
-        let answer = call(address, Call::new(Method::GET, "/metrics")).expect("the node answers");
+        let answer =
+            send_request(address, Call::new(Method::GET, "/metrics")).expect("the node answers");
         String::from_utf8(answer.body.to_vec()).expect("it is text")
     };
     let both = nodes.iter().map(scrape).collect::<String>();
--- a/crates/orioleroute-node/tests/settings.rs
+++ b/crates/orioleroute-node/tests/settings.rs
@@ -8,7 +8,7 @@
 use orioleroute_wire::client::Call;
 use rstest::rstest;
 use serde_json::{Value, json};
-use standins::system::{self, call};
+use standins::system::{self, send_request};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_orioleroute-node");
 
@@ -110,14 +110,17 @@
     let request = Call::new(Method::POST, "/command")
         .header("authorization", "Bearer operator-secret")
         .json(command);
-    call(operators, request).expect("it answers").json(operators).expect("it is JSON")
+    send_request(operators, request).expect("it answers").json(operators).expect("it is JSON")
 }
 
 #[test]
 fn each_decision_on_a_request_is_one_log_line_and_tokens_are_never_logged() {
-    let platform = system::platform();
-    let engine = system::engine(Default::default());
-    system::publish(platform, &[system::listing("engine-1", "coaching", "zurich", engine)]);
+    let platform = system::start_platform();
+    let engine = system::start_engine(Default::default());
+    system::publish_listings(
+        platform,
+        &[system::listing("engine-1", "coaching", "zurich", engine)],
+    );
     let (mut node, addresses) = start_logged(platform);
     let (callers, operators) = (addresses[0], addresses[2]);
     let document = json!({
@@ -131,11 +134,11 @@
     let submit = json!({
         "method": "submit", "params": { "base": 0, "document": document.to_string() },
     });
-    system::until("accepted", || command(operators, &submit)["answer"] == "accepted");
+    system::wait_until("accepted", || command(operators, &submit)["answer"] == "accepted");
     let request = Call::new(Method::POST, "/v1/completions")
         .header("x-request-id", "lesson-7")
         .json(&json!({ "model": "milk", "prompt": "p", "max_tokens": 2 }));
-    assert!(call(callers, request).expect("it answers").status.is_success());
+    assert!(send_request(callers, request).expect("it answers").status.is_success());
     let mut unauthorized = TcpStream::connect(operators).expect("it listens");
     let wrong = b"POST /command HTTP/1.1\r\nauthorization: Bearer guessed-it\r\ncontent-length: 2\r\n\r\n{}";
     unauthorized.write_all(wrong).expect("it reads");
--- a/crates/orioleroute-node/tests/support/mod.rs
+++ b/crates/orioleroute-node/tests/support/mod.rs
@@ -15,7 +15,9 @@
 use serde_json::{Value, json};
 use standins::engine::Settings;
 use standins::process::Process;
-use standins::system::{self, call, listing, node, publish, status, until};
+use standins::system::{
+    self, listing, publish_listings, send_request, start_node, status, wait_until,
+};
 
 /// The region of every node.
 pub const REGION: &str = "zurich";
@@ -39,15 +41,15 @@
     /// Starts a system with two engines and the given number of nodes.
     pub fn start(nodes: usize) -> Self {
         let engines: Vec<SocketAddr> =
-            (0..2).map(|_| system::engine(Settings::default())).collect();
+            (0..2).map(|_| system::start_engine(Settings::default())).collect();
         Self::with_engines(nodes, &engines, &engines)
     }
 
     /// Starts a system whose nodes reach the engines at `listed`, which may differ from the addresses
     /// `engines` that the test uses.
     pub fn with_engines(nodes: usize, engines: &[SocketAddr], listed: &[SocketAddr]) -> Self {
-        let platform = system::platform();
-        let service = system::service();
+        let platform = system::start_platform();
+        let service = system::start_service();
         let mut list: Vec<Listing> = listed
             .iter()
             .enumerate()
@@ -56,7 +58,7 @@
             })
             .collect();
         list.push(listing("course", "course", REGION, service));
-        publish(platform, &list);
+        publish_listings(platform, &list);
         let mut system = Self { platform, engines: engines.to_vec(), service, nodes: Vec::new() };
         for index in 0..nodes {
             system.add_node(&format!("node-{index}"));
@@ -69,23 +71,23 @@
     /// Starts one more node.
     pub fn add_node(&mut self, name: &str) {
         let program = Path::new(env!("CARGO_BIN_EXE_orioleroute-node"));
-        self.nodes.push(node(program, name, REGION, self.platform, &[]).expect("it starts"));
+        self.nodes.push(start_node(program, name, REGION, self.platform, &[]).expect("it starts"));
     }
 
     /// Submits a document with the given default version and waits until it is active on node `by`.
     pub fn submit(&self, by: usize, base: u64, default: &str) {
         let document: Arc<str> = document(default).to_string().into();
         let submit = Command::Submit { base, document };
-        let answer = system::command(&self.nodes[by], &submit);
+        let answer = system::send_command(&self.nodes[by], &submit);
         assert_eq!(answer, Some(Answer::Accepted { version: base + 1 }));
-        until("the document is active", || {
+        wait_until("the document is active", || {
             status(&self.nodes[by]).is_some_and(|status| status.version == base + 1)
         });
     }
 
     /// Waits until every node sees this many members.
     pub fn wait_for_members(&self, count: usize) -> Duration {
-        until("every node sees all members", || {
+        wait_until("every node sees all members", || {
             self.nodes
                 .iter()
                 .all(|node| status(node).is_some_and(|status| status.instances.len() == count))
@@ -100,7 +102,7 @@
     /// Returns the index of a model's home, as looked up at the node `asked`.
     pub fn home(&self, asked: usize, model: &str) -> usize {
         let request = Call::new(Method::GET, format!("/route?adapter={model}"));
-        let answer = call(self.callers(asked), request).expect("the node answers");
+        let answer = send_request(self.callers(asked), request).expect("the node answers");
         let body: Value = serde_json::from_slice(&answer.body).expect("it is JSON");
         let address = body["addresses"][0].as_str().expect("there is a home").parse();
         let address: SocketAddr = address.expect("it is an address");
@@ -110,7 +112,8 @@
 
     /// Returns how often the service ran the booking with an idempotency key.
     pub fn runs(&self, key: &str) -> u64 {
-        let answer = call(self.service, Call::new(Method::GET, "/runs")).expect("it answers");
+        let answer =
+            send_request(self.service, Call::new(Method::GET, "/runs")).expect("it answers");
         let body: Value = serde_json::from_slice(&answer.body).expect("it is JSON");
         body[key].as_u64().unwrap_or(0)
     }
@@ -118,7 +121,8 @@
     /// Returns the history of all engines.
     pub fn history(&self) -> Vec<Value> {
         let histories = self.engines.iter().map(|engine| {
-            let answer = call(*engine, Call::new(Method::GET, "/history")).expect("it answers");
+            let answer =
+                send_request(*engine, Call::new(Method::GET, "/history")).expect("it answers");
             serde_json::from_slice::<Vec<Value>>(&answer.body).expect("it is JSON")
         });
         histories.flatten().collect()
@@ -157,13 +161,13 @@
 
 /// Sends a completion request with the given request id and returns the answer.
 pub fn complete(address: SocketAddr, model: &str, request: &str) -> Option<HttpAnswer> {
-    call(address, completion(model, 3, false).header("x-request-id", request)).ok()
+    send_request(address, completion(model, 3, false).header("x-request-id", request)).ok()
 }
 
 /// Sends a completion request with a deadline and returns the answer.
 pub fn complete_within(address: SocketAddr, model: &str, limit: Duration) -> Option<HttpAnswer> {
     let request = completion(model, 3, false);
-    call(address, request.header("x-deadline-ms", limit.as_millis().to_string())).ok()
+    send_request(address, request.header("x-deadline-ms", limit.as_millis().to_string())).ok()
 }
 
 /// Sends a completion request to a process that may be paused, without waiting for the answer.
@@ -208,7 +212,7 @@
     let request = Call::new(Method::POST, "/services/bookings/enrol")
         .header("idempotency-key", key)
         .body("text/plain", "one seat");
-    call(address, request).ok()
+    send_request(address, request).ok()
 }
 
 /// Returns the header field of an answer that says whether the request ran.
--- a/crates/orioleroute-wire/tests/connection.rs
+++ b/crates/orioleroute-wire/tests/connection.rs
@@ -22,13 +22,13 @@
         runtime::block_on(async move {
             let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
             sender.send(listener.local_addr().expect("it is bound")).expect("the test waits");
-            serve(listener, limits(), 8, explain, handle).await
+            serve(listener, limits(), 8, fault_response, handle).await
         })
     });
     address.recv().expect("the server starts")
 }
 
-fn explain(fault: &Fault) -> Response {
+fn fault_response(fault: &Fault) -> Response {
     Response::text(fault.status(), fault.to_string())
 }
 
--- a/crates/standins/examples/demo.rs
+++ b/crates/standins/examples/demo.rs
@@ -13,8 +13,10 @@
 use orioleroute_wire::client::{Call, Pool};
 use orioleroute_wire::runtime;
 use serde_json::{Value, json};
-use standins::process::{Process, binary};
-use standins::system::{self, OPERATOR_TOKEN, listing, node, publish, status, until};
+use standins::process::{Process, binary_path};
+use standins::system::{
+    self, OPERATOR_TOKEN, listing, publish_listings, start_node, status, wait_until,
+};
 
 const REGION: &str = "zurich";
 
@@ -23,7 +25,7 @@
     let engines = [start("engine", &["--listen"])?, start("engine", &["--listen"])?];
     let service = start("service", &[])?;
     let platform_address = only_address(&platform)?;
-    publish(
+    publish_listings(
         platform_address,
         &[
             listing("engine-1", "coaching", REGION, only_address(&engines[0])?),
@@ -31,25 +33,25 @@
             listing("course", "course", REGION, only_address(&service)?),
         ],
     );
-    let program = binary("orioleroute-node")?;
+    let program = binary_path("orioleroute-node")?;
     let mut nodes = ["a", "b", "c"]
         .iter()
-        .map(|name| node(&program, name, REGION, platform_address, &[]))
+        .map(|name| start_node(&program, name, REGION, platform_address, &[]))
         .collect::<Result<Vec<Process>>>()?;
     println!("started a platform, two engines, a plain service and three nodes");
-    until("all three nodes to join", || {
+    wait_until("all three nodes to join", || {
         nodes.iter().all(|node| status(node).is_some_and(|status| status.instances.len() == 3))
     });
     submit(&nodes[0])?;
-    let propagation = until("the document to be active on all nodes", || {
+    let propagation = wait_until("the document to be active on all nodes", || {
         nodes.iter().all(|node| status(node).is_some_and(|status| status.version == 1))
     });
-    until("both engines to be held by a node", || {
+    wait_until("both engines to be held by a node", || {
         let upstreams = nodes.iter().filter_map(status).flat_map(|status| status.upstreams);
         upstreams.filter(|upstream| upstream.holding == Holding::Holds).count() == 2
     });
     println!("in force on all nodes {propagation:?} after the operator was told");
-    until("all nodes to be ready", || nodes.iter().all(is_ready));
+    wait_until("all nodes to be ready", || nodes.iter().all(is_ready));
     run_oriolectl("status", &nodes[1])?;
     let home = ask_route(&nodes[2])?;
     println!("a caller was told to use {home} for the adapter milk-texturing");
@@ -69,7 +71,7 @@
 fn is_ready(node: &Process) -> bool {
     let answer = node
         .address("operators")
-        .and_then(|address| system::call(address, Call::new(Method::GET, "/readyz")).ok());
+        .and_then(|address| system::send_request(address, Call::new(Method::GET, "/readyz")).ok());
     answer.is_some_and(|answer| answer.status.is_success())
 }
 
@@ -78,7 +80,7 @@
     if !arguments.is_empty() {
         arguments.push("127.0.0.1:0".to_owned());
     }
-    Process::start(&binary(&format!("examples/{example}"))?, &arguments)
+    Process::start(&binary_path(&format!("examples/{example}"))?, &arguments)
 }
 
 fn only_address(process: &Process) -> Result<SocketAddr> {
@@ -109,7 +111,7 @@
 
 fn oriolectl(node: &Process) -> Command {
     let address = node.address("operators").map(|address| address.to_string());
-    let program = binary("oriolectl").unwrap_or_else(|_| "oriolectl".into());
+    let program = binary_path("oriolectl").unwrap_or_else(|_| "oriolectl".into());
     let mut command = Command::new(program);
     command.args(["--instance", &address.unwrap_or_default(), "--token", OPERATOR_TOKEN]);
     command
@@ -126,8 +128,8 @@
         .ok_or_else(|| Error::other("the node printed no address for callers"))?;
     let path = format!("/route?adapter=milk-texturing&region={REGION}");
     let mut home = None;
-    until("a route", || {
-        let answer = system::call(address, Call::new(Method::GET, path.clone())).ok();
+    wait_until("a route", || {
+        let answer = system::send_request(address, Call::new(Method::GET, path.clone())).ok();
         let routes: Option<Value> = answer.and_then(|answer| answer.json(address).ok());
         home = routes.and_then(|routes| routes["addresses"][0].as_str()?.parse().ok());
         home.is_some()
@@ -170,8 +172,8 @@
             .header("idempotency-key", "booking-1")
             .body("text/plain", "one seat")
     };
-    let first = system::call(home, call()).map_err(Error::other)?;
-    let second = system::call(home, call()).map_err(Error::other)?;
+    let first = system::send_request(home, call()).map_err(Error::other)?;
+    let second = system::send_request(home, call()).map_err(Error::other)?;
     println!("booking: {}; the same booking again: {}", first.status, second.status);
     if first.status.is_success() && !second.status.is_success() {
         return Ok(());
--- a/crates/standins/examples/load/system.rs
+++ b/crates/standins/examples/load/system.rs
@@ -7,8 +7,8 @@
 use orioleroute::operator::{Answer, Command};
 use serde_json::json;
 use standins::engine::Settings;
-use standins::process::{Process, binary};
-use standins::system::{self, listing, node, publish, status, until};
+use standins::process::{Process, binary_path};
+use standins::system::{self, listing, publish_listings, start_node, status, wait_until};
 
 const REGION: &str = "zurich";
 
@@ -41,31 +41,35 @@
     ///
     /// Fails if the node cannot be started or rejects the document.
     pub fn start() -> Result<Self> {
-        let platform = system::platform();
-        let paced =
-            system::engine(Settings { token_time: PACED_TOKEN_INTERVAL, ..Settings::default() });
-        let unpaced =
-            system::engine(Settings { token_time: Duration::ZERO, ..Settings::default() });
-        publish(
+        let platform = system::start_platform();
+        let paced = system::start_engine(Settings {
+            token_interval: PACED_TOKEN_INTERVAL,
+            ..Settings::default()
+        });
+        let unpaced = system::start_engine(Settings {
+            token_interval: Duration::ZERO,
+            ..Settings::default()
+        });
+        publish_listings(
             platform,
             &[
                 listing("engine-1", "paced", REGION, paced),
                 listing("engine-2", "unpaced", REGION, unpaced),
             ],
         );
-        let node = node(&binary("orioleroute-node")?, "a", REGION, platform, &[])?;
+        let node = start_node(&binary_path("orioleroute-node")?, "a", REGION, platform, &[])?;
         let callers = node
             .address("callers")
             .ok_or_else(|| Error::other("the node printed no address for callers"))?;
-        until("the node to join", || {
+        wait_until("the node to join", || {
             status(&node).is_some_and(|status| status.instances.len() == 1)
         });
         let submit = Command::Submit { base: 0, document: document().to_string().into() };
-        match system::command(&node, &submit) {
+        match system::send_command(&node, &submit) {
             Some(Answer::Accepted { .. }) => {}
             other => return Err(Error::other(format!("the document was not accepted: {other:?}"))),
         }
-        until("the document to be active", || {
+        wait_until("the document to be active", || {
             status(&node).is_some_and(|status| status.version == 1)
         });
         Ok(Self { node, callers, paced, unpaced })
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -21,9 +21,9 @@
     /// The time that a load takes.
     pub load_time: Duration,
     /// The time between two tokens of a response.
-    pub token_time: Duration,
+    pub token_interval: Duration,
     /// Whether orders with an outdated fencing token are rejected.
-    pub checks_fencing: bool,
+    pub rejects_stale_tokens: bool,
 }
 
 impl Default for Settings {
@@ -31,8 +31,8 @@
         Self {
             slots: 8,
             load_time: Duration::from_millis(250),
-            token_time: Duration::from_millis(10),
-            checks_fencing: true,
+            token_interval: Duration::from_millis(10),
+            rejects_stale_tokens: true,
         }
     }
 }
@@ -163,7 +163,7 @@
             .map(|(name, running)| Loaded { name: name.as_str().into(), running: *running })
             .collect();
         let running = loaded.iter().map(|loaded| loaded.running).sum();
-        let fencing = if self.settings.checks_fencing { self.fencing_token } else { 0 };
+        let fencing = if self.settings.rejects_stale_tokens { self.fencing_token } else { 0 };
         let incarnation = self.incarnation;
         let draining = self.faults.draining;
         let now = Report { incarnation, loaded, running, age_ms: 0, fencing, draining };
@@ -193,7 +193,7 @@
         request.header("x-fencing-number").and_then(|text| text.parse().ok()).unwrap_or(0);
     let settings = state.borrow().settings.clone();
     let highest = state.borrow().fencing_token;
-    if settings.checks_fencing && token < highest {
+    if settings.rejects_stale_tokens && token < highest {
         return connection.respond(Response::text(StatusCode::PRECONDITION_FAILED, "fenced")).await;
     }
     state.borrow_mut().fencing_token = token.max(highest);
@@ -296,11 +296,11 @@
     let resumed = request.header("x-resume-stream").is_some();
     let running = RunningRequest::begin(state, &name, &id, resumed);
     let tokens = body["max_tokens"].as_u64().unwrap_or(8) as u32;
-    let token_time = state.borrow().settings.token_time;
+    let token_interval = state.borrow().settings.token_interval;
     let break_after = state.borrow().faults.break_after;
     if body["stream"].as_bool() != Some(true) {
         monoio::select! {
-            _ = monoio::time::sleep(token_time * tokens) => {}
+            _ = monoio::time::sleep(token_interval * tokens) => {}
             _ = connection.closed() => return Ok(()),
         }
         let text: String = (0..tokens).map(token_text).collect();
@@ -324,9 +324,9 @@
                 "stream broken by an injected fault",
             ));
         }
-        if !token_time.is_zero() {
+        if !token_interval.is_zero() {
             monoio::select! {
-                _ = monoio::time::sleep(token_time) => {}
+                _ = monoio::time::sleep(token_interval) => {}
                 _ = connection.closed() => return Ok(()),
             }
         }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -5,9 +5,9 @@
 
 pub mod bench;
 pub mod engine;
-pub mod link;
 pub mod platform;
 pub mod process;
+pub mod proxy;
 pub mod service;
 pub mod system;
 pub mod world;
@@ -46,13 +46,17 @@
 {
     let state = Rc::new(RefCell::new(state));
     let limits = Limits { max_body_bytes: MAX_BODY_BYTES, ..Limits::default() };
-    server::serve(listener, limits, MAX_CONNECTIONS, explain, async move |connection, request| {
-        handler(&state, connection, request).await
-    })
+    server::serve(
+        listener,
+        limits,
+        MAX_CONNECTIONS,
+        fault_response,
+        async move |connection, request| handler(&state, connection, request).await,
+    )
     .await
 }
 
 /// Answers a protocol fault in plain text.
-fn explain(fault: &Fault) -> Response {
+fn fault_response(fault: &Fault) -> Response {
     Response::text(fault.status(), fault.to_string())
 }
--- a/crates/standins/src/process.rs
+++ b/crates/standins/src/process.rs
@@ -99,7 +99,7 @@
 /// # Errors
 ///
 /// Fails if the path of the current executable cannot be determined.
-pub fn binary(name: &str) -> Result<PathBuf> {
+pub fn binary_path(name: &str) -> Result<PathBuf> {
     let own = std::env::current_exe()?;
     let target_dir = own
         .ancestors()
--- a/crates/standins/src/link.rs
+++ b/crates/standins/src/proxy.rs
@@ -11,22 +11,22 @@
 /// A listener that forwards every connection to another address.
 ///
 /// The open connections can be closed or stalled. Connections accepted later are forwarded normally.
-pub struct Link {
+pub struct TcpProxy {
     /// The address to connect to.
     pub address: SocketAddr,
     open: Arc<Mutex<Vec<TcpStream>>>,
-    /// The number of calls of [`Self::stall`]. A connection is stalled once this differs from the value
-    /// at its start.
+    /// The number of calls of [`Self::drop_traffic`]. A connection is stalled once this differs from the
+    /// value at its start.
     stalls: Arc<AtomicUsize>,
 }
 
-impl Link {
-    /// Starts a link to `target` on its own threads.
+impl TcpProxy {
+    /// Starts a proxy to `target` on its own threads.
     ///
     /// # Errors
     ///
     /// Fails if the listener cannot be bound.
-    pub fn to(target: SocketAddr) -> Result<Self> {
+    pub fn start(target: SocketAddr) -> Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let open = Arc::new(Mutex::new(Vec::new()));
@@ -42,12 +42,12 @@
     }
 
     /// Discards all further data on the open connections without closing them.
-    pub fn stall(&self) {
+    pub fn drop_traffic(&self) {
         self.stalls.fetch_add(1, Ordering::SeqCst);
     }
 
     /// Closes the open connections and returns the number of sockets that were closed.
-    pub fn cut(&self) -> usize {
+    pub fn close_connections(&self) -> usize {
         let mut open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
         let closed = open.drain(..).filter(|socket| socket.shutdown(Shutdown::Both).is_ok());
         closed.count()
--- a/crates/standins/src/system.rs
+++ b/crates/standins/src/system.rs
@@ -24,10 +24,10 @@
 /// The token with which the nodes of a test authenticate to each other.
 pub const PEER_TOKEN: &str = "peer-secret";
 
-/// The timeout of [`call`] and [`until`].
+/// The timeout of [`send_request`] and [`wait_until`].
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The interval at which [`until`] checks its condition.
+/// The interval at which [`wait_until`] checks its condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Runs a stand-in on its own thread and returns its address.
@@ -49,17 +49,17 @@
 }
 
 /// Starts a platform stand-in and returns its address.
-pub fn platform() -> SocketAddr {
+pub fn start_platform() -> SocketAddr {
     spawn_stand_in(platform::run)
 }
 
 /// Starts an engine stand-in and returns its address.
-pub fn engine(settings: engine::Settings) -> SocketAddr {
+pub fn start_engine(settings: engine::Settings) -> SocketAddr {
     spawn_stand_in(move |listener| engine::run(listener, settings))
 }
 
 /// Starts a stand-in of a plain service and returns its address.
-pub fn service() -> SocketAddr {
+pub fn start_service() -> SocketAddr {
     spawn_stand_in(service::run)
 }
 
@@ -80,7 +80,7 @@
 /// # Errors
 ///
 /// Fails if the node cannot be started.
-pub fn node(
+pub fn start_node(
     program: &Path,
     name: &str,
     region: &str,
@@ -111,7 +111,7 @@
 /// # Errors
 ///
 /// Fails if the exchange fails or takes longer than 20 seconds.
-pub fn call(
+pub fn send_request(
     address: SocketAddr,
     call: Call,
 ) -> std::result::Result<Answer, orioleroute_wire::Error> {
@@ -124,7 +124,7 @@
 ///
 /// Panics if the stand-in rejects them or does not respond.
 pub fn set_faults(address: SocketAddr, faults: &impl Serialize) {
-    let answer = call(address, Call::new(Method::POST, "/faults").json(faults));
+    let answer = send_request(address, Call::new(Method::POST, "/faults").json(faults));
     assert!(
         answer.is_ok_and(|answer| answer.status.is_success()),
         "the stand-in at {address} did not accept the faults"
@@ -136,8 +136,8 @@
 /// # Panics
 ///
 /// Panics if the platform rejects it or does not respond.
-pub fn publish(platform: SocketAddr, listings: &[Listing]) {
-    let answer = call(platform, Call::new(Method::PUT, "/instances").json(&listings));
+pub fn publish_listings(platform: SocketAddr, listings: &[Listing]) {
+    let answer = send_request(platform, Call::new(Method::PUT, "/instances").json(&listings));
     assert!(
         answer.is_ok_and(|answer| answer.status.is_success()),
         "the platform at {platform} did not accept the list"
@@ -145,17 +145,17 @@
 }
 
 /// Sends an operator command to a node. Returns `None` if there is no valid reply.
-pub fn command(node: &Process, command: &Command) -> Option<Reply> {
+pub fn send_command(node: &Process, command: &Command) -> Option<Reply> {
     let address = node.address("operators")?;
     let request = Call::new(Method::POST, "/command")
         .header("authorization", format!("Bearer {OPERATOR_TOKEN}"))
         .json(command);
-    call(address, request).ok()?.json(address).ok()
+    send_request(address, request).ok()?.json(address).ok()
 }
 
 /// Returns the status of a node, or `None` if it does not reply with one.
 pub fn status(node: &Process) -> Option<Status> {
-    match command(node, &Command::Status)? {
+    match send_command(node, &Command::Status)? {
         Reply::Status(status) => Some(status),
         _ => None,
     }
@@ -166,7 +166,7 @@
 /// # Panics
 ///
 /// Panics after 20 seconds; the message contains `what`.
-pub fn until(what: &str, mut check: impl FnMut() -> bool) -> Duration {
+pub fn wait_until(what: &str, mut check: impl FnMut() -> bool) -> Duration {
     let start = Instant::now();
     while !check() {
         assert!(start.elapsed() < TIMEOUT, "timed out waiting for: {what}");
