--- a/crates/orioleroute-node/src/gateway/leadership.rs
+++ b/crates/orioleroute-node/src/gateway/leadership.rs
@@ -308,7 +308,7 @@
     for output in outputs {
         match (output, zone) {
             (Output::Send(client, message), _) => link::send_to_instance(gateway, client, message),
-            (Output::Decided(decision), _) => log_decision(gateway, zone, &decision),
+            (Output::LogDecision(decision), _) => log_decision(gateway, zone, &decision),
             (Output::IssueOrder(address, order), Some(zone)) => {
                 monoio::spawn(issue_order(gateway.clone(), zone.clone(), address, order));
             }
--- a/crates/orioleroute/src/config/fetch.rs
+++ b/crates/orioleroute/src/config/fetch.rs
@@ -37,7 +37,7 @@
     }
 
     /// Handles an object that was read, and returns whether a new document became active.
-    pub fn handle_get(
+    pub fn handle_object_read(
         &mut self,
         ticket: Ticket,
         value: Option<&str>,
--- a/crates/orioleroute/src/config/submission.rs
+++ b/crates/orioleroute/src/config/submission.rs
@@ -127,7 +127,7 @@
     }
 
     /// Handles the outcome of writing the object.
-    pub fn handle_put(&mut self, ticket: Ticket, stored: bool, effects: &mut Effects) {
+    pub fn handle_object_written(&mut self, ticket: Ticket, stored: bool, effects: &mut Effects) {
         let Some(submission) = &mut self.submission else { return };
         if submission.stage != Stage::Storing(ticket) {
             return;
--- a/crates/orioleroute/src/core.rs
+++ b/crates/orioleroute/src/core.rs
@@ -107,10 +107,10 @@
             Event::Tick => self.tick(now),
             Event::Table { ticket, outcome } => self.handle_table(now, ticket, &outcome),
             Event::ObjectWritten { ticket, stored } => {
-                self.config.handle_put(ticket, stored, &mut self.effects)
+                self.config.handle_object_written(ticket, stored, &mut self.effects)
             }
             Event::ObjectRead { ticket, value } => {
-                if self.config.handle_get(ticket, value.as_deref(), &mut self.effects) {
+                if self.config.handle_object_read(ticket, value.as_deref(), &mut self.effects) {
                     self.apply_document(now);
                 }
             }
--- a/crates/orioleroute/src/scheduler/mod.rs
+++ b/crates/orioleroute/src/scheduler/mod.rs
@@ -430,7 +430,7 @@
         forecast: Forecast,
         now: Instant,
     ) {
-        self.outputs.push(Output::Decided(Decision {
+        self.outputs.push(Output::LogDecision(Decision {
             attempt: request.attempt.clone(),
             reason,
             step: forecast.step.name(),
--- a/crates/orioleroute/src/scheduler/output.rs
+++ b/crates/orioleroute/src/scheduler/output.rs
@@ -19,7 +19,7 @@
     /// Another scheduler has issued orders, so this one must stop.
     Fenced,
     /// Log the decision on a request.
-    Decided(Decision),
+    LogDecision(Decision),
 }
 
 /// The decision on a request and the estimates behind it, for the log.
--- a/crates/orioleroute/tests/scheduler.rs
+++ b/crates/orioleroute/tests/scheduler.rs
@@ -201,7 +201,7 @@
 
     let outputs = scheduler.take_outputs();
     let upstreams = outputs.iter().filter_map(|output| match output {
-        Output::Decided(decision) => decision.upstream.clone(),
+        Output::LogDecision(decision) => decision.upstream.clone(),
         _ => None,
     });
     assert!(upstreams.collect::<Vec<_>>().iter().all(|upstream| &**upstream == "i-1"));
