--- a/crates/orioleroute-node/src/shell.rs
+++ b/crates/orioleroute-node/src/shell.rs
@@ -117,7 +117,7 @@
 
     /// Admits a request and returns its key and the receiver of its steps.
     pub fn admit(&self) -> (key::Request, Steps) {
-        let key = self.core.borrow_mut().admit();
+        let key = self.core.borrow_mut().allocate_request();
         let (sender, steps) = mpsc::unbounded::channel();
         self.steps.borrow_mut().insert(key, sender);
         (key, steps)
--- a/crates/orioleroute/benches/decisions.rs
+++ b/crates/orioleroute/benches/decisions.rs
@@ -142,14 +142,14 @@
                     slots: SLOTS,
                     concurrency: CONCURRENCY,
                 });
-                let worth = |key| Some(state.demand.rate(Instant::ZERO, key));
+                let value = |key| Some(state.demand.rate(Instant::ZERO, key));
                 placement::plan(
                     Instant::ZERO,
                     black_box(&state.fleet),
                     candidates,
                     revision,
                     2.0,
-                    worth,
+                    value,
                 )
             });
         });
--- a/crates/orioleroute/src/claim.rs
+++ b/crates/orioleroute/src/claim.rs
@@ -1,7 +1,7 @@
 //! Claims: table rows that ensure that a request runs at most once.
 //!
 //! A request that is not repeatable and has an idempotency key is sent only after its row states
-//! that this very request holds the key. Rows are written in batches, one transaction at a time,
+//! that this request holds the key. Rows are written in batches, one transaction at a time,
 //! and an unknown outcome is settled by reading the rows. `docs/DESIGN.md`, section "Requests",
 //! gives the reasons.
 
@@ -112,7 +112,7 @@
     next_write: Instant,
     next_read: Instant,
     last_reply: Instant,
-    is_down: bool,
+    is_table_down: bool,
 }
 
 impl Claims {
@@ -130,12 +130,12 @@
             next_write: Instant::ZERO,
             next_read: Instant::ZERO,
             last_reply: Instant::ZERO,
-            is_down: false,
+            is_table_down: false,
         }
     }
 
     /// Returns the key of the row for a service's idempotency key.
-    pub fn row(service: &str, idempotency: &str) -> Arc<str> {
+    pub fn row_key(service: &str, idempotency: &str) -> Arc<str> {
         format!("claim/{service}/{idempotency}").into()
     }
 
@@ -152,7 +152,7 @@
                 State::Abandoned => Verdict::Unsettled,
             });
         }
-        if self.is_down {
+        if self.is_table_down {
             return Err(Verdict::Unsettled);
         }
         self.next_serial += 1;
@@ -194,8 +194,8 @@
     }
 
     /// Returns whether the table is considered unavailable.
-    pub fn is_down(&self) -> bool {
-        self.is_down
+    pub fn is_table_down(&self) -> bool {
+        self.is_table_down
     }
 
     /// Returns the requests that wait for their claims.
@@ -209,10 +209,10 @@
         match outcome {
             Outcome::Rows(_) | Outcome::Written | Outcome::Conflict(_) => {
                 self.last_reply = now;
-                self.is_down = false;
+                self.is_table_down = false;
             }
             Outcome::Failed | Outcome::Unknown => {
-                self.is_down |= now.since(self.last_reply) > REPLY_TTL;
+                self.is_table_down |= now.since(self.last_reply) > REPLY_TTL;
             }
         }
     }
@@ -294,7 +294,7 @@
                 Outcome::Written => settled.extend(self.handle_written(row)),
                 Outcome::Conflict(unmet) if unmet.contains(&index) => self.mark_unread(row),
                 Outcome::Conflict(_) => self.enqueue(row),
-                Outcome::Unknown if !self.is_down => {
+                Outcome::Unknown if !self.is_table_down => {
                     self.mark_uncertain(row);
                     self.mark_unread(row);
                 }
--- a/crates/orioleroute/src/config/fetch.rs
+++ b/crates/orioleroute/src/config/fetch.rs
@@ -20,7 +20,7 @@
     ticket: Ticket,
     started_at: Instant,
     /// The proposals read so far, newest first.
-    changes: Vec<Proposal>,
+    proposals: Vec<Proposal>,
 }
 
 impl Config {
@@ -31,8 +31,8 @@
             .as_ref()
             .is_some_and(|fetch| fetch.target == target && now < fetch.started_at + FETCH_TIMEOUT);
         if !in_progress {
-            let ticket = get_object(target, effects);
-            self.fetch = Some(Fetch { target, ticket, started_at: now, changes: Vec::new() });
+            let ticket = read_object(target, effects);
+            self.fetch = Some(Fetch { target, ticket, started_at: now, proposals: Vec::new() });
         }
     }
 
@@ -50,19 +50,19 @@
         let Some(proposal) = proposal else { return false };
         let base = proposal.base;
         let reached = matches!(proposal.body, Body::Whole(_)) || base == self.mark();
-        fetch.changes.push(proposal);
+        fetch.proposals.push(proposal);
         if !reached {
-            fetch.ticket = get_object(base, effects);
+            fetch.ticket = read_object(base, effects);
             self.fetch = Some(fetch);
             return false;
         }
-        self.activate_all(&fetch.changes)
+        self.activate_all(&fetch.proposals)
     }
 
     /// Activates the proposals of a fetch, oldest first.
-    fn activate_all(&mut self, changes: &[Proposal]) -> bool {
+    fn activate_all(&mut self, proposals: &[Proposal]) -> bool {
         let mut changed = false;
-        for proposal in changes.iter().rev() {
+        for proposal in proposals.iter().rev() {
             let Some(versioned) = self.resolve(proposal) else { break };
             changed |= self.activate(versioned);
         }
@@ -87,7 +87,7 @@
     format!("config/{}-{:016x}.json", mark.version, mark.token).into()
 }
 
-fn get_object(mark: Mark, effects: &mut Effects) -> Ticket {
+fn read_object(mark: Mark, effects: &mut Effects) -> Ticket {
     let ticket = effects.ticket();
     effects.push(Effect::ReadObject { ticket, key: object_key(mark) });
     ticket
--- a/crates/orioleroute/src/core.rs
+++ b/crates/orioleroute/src/core.rs
@@ -96,9 +96,9 @@
         }
     }
 
-    /// Allocates the key under which a request is then passed in with [`Event::Arrived`].
-    pub fn admit(&mut self) -> key::Request {
-        self.requests.admit()
+    /// Allocates the key of a request, which is then passed in with [`Event::Arrived`].
+    pub fn allocate_request(&mut self) -> key::Request {
+        self.requests.allocate()
     }
 
     /// Handles an event and returns the resulting effects, in the order in which to apply them.
@@ -172,7 +172,7 @@
     /// Returns whether the instance has left its region, every request has its final answer, and
     /// every claim is settled or cannot be settled because the table is unavailable.
     pub fn is_done(&self) -> bool {
-        let settled = self.claims.is_empty() || self.claims.is_down();
+        let settled = self.claims.is_empty() || self.claims.is_table_down();
         self.membership.has_left() && self.requests.is_empty() && settled
     }
 
--- a/crates/orioleroute/src/core/claims.rs
+++ b/crates/orioleroute/src/core/claims.rs
@@ -20,7 +20,7 @@
             // Without a caller's idempotency key, a retry could not be matched to this request.
             return self.route(now, key);
         };
-        let row = Claims::row(target, idempotency);
+        let row = Claims::row_key(target, idempotency);
         request.state = State::Claiming;
         request.claim = Some(row.clone());
         if let Err(verdict) = self.claims.begin(&row, key) {
--- a/crates/orioleroute/src/core/engines.rs
+++ b/crates/orioleroute/src/core/engines.rs
@@ -9,7 +9,7 @@
 use crate::prelude::*;
 use crate::routing::{Decision, Reason};
 
-/// Interval between two report requests to an engine.
+/// Interval between report requests to an engine.
 const PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
 
 impl Core {
@@ -43,8 +43,8 @@
             self.catalog.intern(&loaded.name);
         }
         let catalog = &self.catalog;
-        let done = self.fleet.report(now, key, report, |name| catalog.find(name));
-        for ticket in done {
+        let confirmed = self.fleet.apply_report(now, key, report, |name| catalog.find(name));
+        for ticket in confirmed {
             self.finish_confirmed_load(key, ticket);
         }
         self.reconcile(now);
@@ -98,14 +98,14 @@
         // Only a report shows what the engine actually holds, so the next one is requested at once.
         upstream.next_probe = now;
         if outcome == engine::Outcome::Done {
-            self.record_done(now, key, revision, load);
+            self.record_completion(now, key, revision, load);
         }
         self.serve_waiting(now);
         self.load_awaited(now);
     }
 
     /// Updates the estimate of the load time and announces the change to homes in other regions.
-    fn record_done(
+    fn record_completion(
         &mut self,
         now: Instant,
         key: key::Upstream,
--- a/crates/orioleroute/src/core/requests.rs
+++ b/crates/orioleroute/src/core/requests.rs
@@ -112,7 +112,8 @@
         request.state = State::Waiting;
         request.spec.may_have_run |= failure.may_have_run();
         let is_retryable = request.spec.repeatable || !failure.may_have_run();
-        // Waiting for another load of the revision adds no load to a failing upstream.
+        // A retry after a miss waits for the revision to be loaded again, which adds no work to a failing
+        // upstream. So it needs no token of the retry budget.
         let is_miss = failure == Failure::NotLoaded;
         request.misses += u32::from(is_miss);
         let attempts_left = match is_miss {
--- a/crates/orioleroute/src/event.rs
+++ b/crates/orioleroute/src/event.rs
@@ -60,7 +60,7 @@
         /// The outcome.
         outcome: engine::Outcome,
     },
-    /// A request arrived, under a key from [`crate::Core::admit`].
+    /// A request arrived, under a key from [`crate::Core::allocate_request`].
     Arrived {
         /// The request.
         request: key::Request,
--- a/crates/orioleroute/src/fleet.rs
+++ b/crates/orioleroute/src/fleet.rs
@@ -314,7 +314,7 @@
     ///
     /// The report decides what is loaded, except for orders that are too recent to show in its
     /// figures. Served names for which `find` returns `None` are ignored.
-    pub fn report(
+    pub fn apply_report(
         &mut self,
         now: Instant,
         key: key::Upstream,
@@ -333,17 +333,17 @@
         upstream.incarnation = report.incarnation;
         upstream.draining = report.draining;
         let mut reported_revisions = Set::default();
-        let mut done = Vec::new();
+        let mut confirmed = Vec::new();
         for loaded in &report.loaded {
             let Some(revision) = find(&loaded.name) else { continue };
             reported_revisions.insert(revision);
-            done.extend(upstream.handle_reported(now, revision, loaded.running));
+            confirmed.extend(upstream.handle_reported(now, revision, loaded.running));
         }
         upstream.handle_unreported(&reported_revisions);
         let residents = &upstream.residents;
         upstream.orders.retain(|revision, order| {
             residents.contains_key(revision) || !order.is_refuted_at(sampled)
         });
-        done
+        confirmed
     }
 }
--- a/crates/orioleroute/src/ingress/health.rs
+++ b/crates/orioleroute/src/ingress/health.rs
@@ -1,4 +1,4 @@
-//! The health of upstreams, by which requests to plain services are balanced.
+//! The health of upstreams, by which requests are balanced.
 //!
 //! Load pattern: an upstream that fails or is slow while its own health check passes, and an upstream
 //! that has just stopped. Health is derived from the outcomes of requests alone, and compared between
--- a/crates/orioleroute/src/membership.rs
+++ b/crates/orioleroute/src/membership.rs
@@ -31,7 +31,8 @@
 /// The interval between lease renewals.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a member may be silent before it is suspected to have failed.
+/// How long a member may be silent before it is suspected to have failed. A process that has not handled
+/// a tick for as long counts as paused.
 pub const SUSPICION_TIMEOUT: Duration = Duration::from_millis(1_600);
 
 /// The interval between reads of the view's row.
@@ -68,7 +69,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Peer {
     /// When a message from it was last handled.
-    pub last_heard: Instant,
+    pub last_message: Instant,
     /// The version of the newest view that it has reported as applied.
     pub applied_version: u64,
     /// The active configuration version that it reported with its last granted renewal.
@@ -248,7 +249,7 @@
         let mut checks: Vec<Write> = self
             .views
             .values()
-            .map(|view| Write::check(View::row(&view.region), Expect::unchanged(view.version)))
+            .map(|view| Write::check(View::row_key(&view.region), Expect::unchanged(view.version)))
             .collect();
         checks.push(Write::check(REGIONS_KEY, Expect::unchanged(self.regions_row_version)));
         checks
--- a/crates/orioleroute/src/membership/lease.rs
+++ b/crates/orioleroute/src/membership/lease.rs
@@ -113,7 +113,7 @@
             true => LEASE_DURATION + LEASE_MARGIN,
             false => LEASE_DURATION + LEASE_MARGIN + UNCLEAN_REMOVAL_DELAY,
         };
-        now >= peer.last_heard + SUSPICION_TIMEOUT && now >= peer.last_grant + wait
+        now >= peer.last_message + SUSPICION_TIMEOUT && now >= peer.last_grant + wait
     }
 
     /// Returns whether no watcher other than the current ones can still extend a member's lease.
--- a/crates/orioleroute/src/membership/poll.rs
+++ b/crates/orioleroute/src/membership/poll.rs
@@ -18,11 +18,11 @@
             return;
         }
         self.next_poll = now + POLL_INTERVAL;
-        let mut keys = vec![View::row(&self.identity.region)];
+        let mut keys = vec![View::row_key(&self.identity.region)];
         if now >= self.next_remote_poll {
             self.next_remote_poll = now + REMOTE_POLL_INTERVAL;
             let others = self.views.keys().filter(|region| **region != self.identity.region);
-            keys.extend(others.map(|region| View::row(region)));
+            keys.extend(others.map(|region| View::row_key(region)));
             keys.push(REGIONS_KEY.into());
         }
         let ticket = effects.table(Operation::Read(keys));
@@ -36,7 +36,7 @@
         rows: &[Row],
         effects: &mut Effects,
     ) {
-        let own = View::row(&self.identity.region);
+        let own = View::row_key(&self.identity.region);
         self.table_read_at = Some(sent);
         self.is_paused &= sent < self.pause_detected_at;
         if let Some(row) = rows.iter().find(|row| &*row.key == REGIONS_KEY) {
@@ -105,7 +105,7 @@
             members,
             unclean,
         };
-        let mut writes = vec![Write::put(View::row(&next.region), expect, &next)];
+        let mut writes = vec![Write::put(View::row_key(&next.region), expect, &next)];
         if expect == Expect::Absent {
             writes.push(self.regions_write());
         }
--- a/crates/orioleroute/src/membership/propagation.rs
+++ b/crates/orioleroute/src/membership/propagation.rs
@@ -43,7 +43,7 @@
         let view = &self.views[&self.identity.region];
         self.peers.retain(|name, _| view.member(name).is_some());
         for member in &view.members {
-            let new_peer = Peer { last_heard: now, last_grant: now, ..Peer::default() };
+            let new_peer = Peer { last_message: now, last_grant: now, ..Peer::default() };
             let peer = self.peers.entry(member.name.clone()).or_insert(new_peer);
             // A new watcher of a member waits for a full lease before it may remove the member.
             peer.last_grant = now;
@@ -111,7 +111,7 @@
 
     pub(super) fn record_contact(&mut self, now: Instant, from: &Arc<str>, applied_version: u64) {
         if let Some(peer) = self.peers.get_mut(from) {
-            peer.last_heard = now;
+            peer.last_message = now;
             if !self.is_paused && now < self.last_tick + SUSPICION_TIMEOUT {
                 peer.last_contact = now;
             }
--- a/crates/orioleroute/src/request.rs
+++ b/crates/orioleroute/src/request.rs
@@ -238,7 +238,7 @@
 
 impl Requests {
     /// Allocates the key of a request that is about to arrive.
-    pub fn admit(&mut self) -> key::Request {
+    pub fn allocate(&mut self) -> key::Request {
         self.arena.insert(None)
     }
 
--- a/crates/orioleroute/src/scheduler/dispatch.rs
+++ b/crates/orioleroute/src/scheduler/dispatch.rs
@@ -160,7 +160,7 @@
             version = slot.version;
         }
         let runner = &mut self.runners[key];
-        runner.begin(item.key, &item.request, now);
+        runner.record_grant(item.key, &item.request, now);
         let grant = Grant {
             ticket: item.key.ticket,
             upstream: runner.id.clone(),
@@ -169,7 +169,7 @@
         };
         let upstream = Some(runner.id.clone());
         self.granted.insert(item.key, key);
-        self.decide(&item.request, item.forecast.step.name(), upstream, item.forecast, now);
+        self.log_decision(&item.request, item.forecast.step.name(), upstream, item.forecast, now);
         self.outputs.push(Output::Send(item.key.client, ToInstance::Grant(grant)));
     }
 }
--- a/crates/orioleroute/src/scheduler/fetches.rs
+++ b/crates/orioleroute/src/scheduler/fetches.rs
@@ -73,7 +73,7 @@
         } else if slowdown > CONGESTION_SLOWDOWN {
             self.limit *= DECREASE_FACTOR;
         }
-        let (least, most) = LIMIT_BOUNDS;
-        self.limit = self.limit.clamp(least, most);
+        let (lowest, highest) = LIMIT_BOUNDS;
+        self.limit = self.limit.clamp(lowest, highest);
     }
 }
--- a/crates/orioleroute/src/scheduler/mod.rs
+++ b/crates/orioleroute/src/scheduler/mod.rs
@@ -34,8 +34,8 @@
 use placement::{Candidate, Step};
 use runner::{BaseModel, Certainty, Popularity, Runner, SlotState};
 
-/// How long a new scheduler waits before it requests reports. Reports lag, and have to include the
-/// last orders of the previous scheduler.
+/// How long a new scheduler waits before it requests reports. Reports lag, and the first ones must show
+/// the effect of the previous scheduler's last orders.
 const TAKEOVER_DELAY: Duration = Duration::from_millis(400);
 
 /// Number of requests for an adapter in the last ten seconds at which a zone fetches it even though
@@ -141,7 +141,7 @@
         let gone: Vec<Arc<str>> =
             self.by_id.keys().filter(|id| !listed.contains(*id)).cloned().collect();
         for id in gone {
-            self.drop_runner(&id);
+            self.remove_runner(&id);
         }
         self.dispatch(now);
     }
@@ -157,7 +157,7 @@
     pub fn place(&mut self, client: Client, placement: Placement, now: Instant) {
         let key = RequestKey { client, ticket: placement.ticket };
         let may_fetch = placement.may_fetch;
-        let request = self.request(placement, now);
+        let request = self.to_request(placement, now);
         let Some(engine) = self.engine(&request.service).cloned() else {
             return self.refuse(key, &request, Reason::NoEngine, Duration::ZERO, now);
         };
@@ -169,7 +169,7 @@
         if !may_fetch && candidate.step.is_fetch() && !self.is_popular(&request, now) {
             return self.refuse(key, &request, Reason::NotHere, Duration::ZERO, now);
         }
-        let queue = self.runners[candidate.runner].queue();
+        let queue = self.runners[candidate.runner].queueing_delay();
         let forecast = Forecast { step: candidate.step, start: candidate.start, queue };
         match admission::admit(&request, forecast.step, forecast.start, queue, now) {
             Ok(()) => {
@@ -188,7 +188,7 @@
                 }
             }
             Err(refusal) => {
-                self.decide(&request, refusal.reason.into(), None, forecast, now);
+                self.log_decision(&request, refusal.reason.into(), None, forecast, now);
                 self.send_refusal(key, refusal.reason, refusal.retry_after);
             }
         }
@@ -211,7 +211,7 @@
         if let Some(runner) =
             self.granted.get(&key).and_then(|runner| self.runners.get_mut(*runner))
         {
-            runner.start(key, now);
+            runner.record_first_event(key, now);
         }
         self.dispatch(now);
     }
@@ -329,7 +329,7 @@
         checks.min()
     }
 
-    fn request(&self, placement: Placement, now: Instant) -> Request {
+    fn to_request(&self, placement: Placement, now: Instant) -> Request {
         let adapter = placement.adapter;
         let newest = adapter.as_ref().and_then(|adapter| {
             self.newest_versions.get(&(placement.model.clone(), adapter.clone())).copied()
@@ -363,7 +363,7 @@
                 runner.is_draining = description.state == State::Draining;
                 return;
             }
-            self.drop_runner(&description.id);
+            self.remove_runner(&description.id);
         }
         let mut runner = Runner::new(description, now);
         runner.certainty = Certainty::ReportDue(now + TAKEOVER_DELAY);
@@ -371,7 +371,7 @@
         self.by_id.insert(description.id.clone(), key);
     }
 
-    fn drop_runner(&mut self, id: &Arc<str>) {
+    fn remove_runner(&mut self, id: &Arc<str>) {
         let Some(key) = self.by_id.remove(id) else { return };
         self.runners.remove(key);
         self.granted.retain(|_, runner| *runner != key);
@@ -402,14 +402,14 @@
         now: Instant,
     ) {
         let forecast = Forecast { step: Step::Use, start: Duration::ZERO, queue: Duration::ZERO };
-        self.decide(request, reason.into(), None, forecast, now);
+        self.log_decision(request, reason.into(), None, forecast, now);
         self.send_refusal(key, reason, retry_after);
     }
 
     /// Refuses a request that has waited too long.
     fn refuse_late(&mut self, item: &Waiting, retry_after: Duration, now: Instant) {
         let forecast = Forecast { step: item.step, ..item.forecast };
-        self.decide(&item.request, Reason::TooLate.into(), None, forecast, now);
+        self.log_decision(&item.request, Reason::TooLate.into(), None, forecast, now);
         self.send_refusal(item.key, Reason::TooLate, retry_after);
     }
 
@@ -422,7 +422,7 @@
         self.outputs.push(Output::Send(key.client, refusal));
     }
 
-    fn decide(
+    fn log_decision(
         &mut self,
         request: &Request,
         reason: &'static str,
--- a/crates/orioleroute/src/scheduler/placement.rs
+++ b/crates/orioleroute/src/scheduler/placement.rs
@@ -24,8 +24,8 @@
 /// waiting for one that holds it. A load evicts another adapter that later requests may need.
 const LOAD_PENALTY: Duration = Duration::from_millis(40);
 
-/// The same for a load from the weight store, which also takes bandwidth from the loads of all other
-/// engines.
+/// Used instead of [`LOAD_PENALTY`] for a load from the weight store, because such a load also takes
+/// bandwidth from the loads of all other engines.
 const FETCH_PENALTY: Duration = Duration::from_millis(150);
 
 /// Cost of evicting an adapter, per request for it in the last ten seconds.
@@ -162,7 +162,7 @@
     let backlog = runner.backlog();
     let (mut step, load, load_penalty) = adapter_step(runner, engine, request, cold, now);
     let own_prefill = runner.prefill_time(u64::from(runner.uncached_tokens(request)));
-    let start = runner.queue().max(load) + own_prefill;
+    let start = runner.queueing_delay().max(load) + own_prefill;
     // A load can start before the backlog is short enough for a grant if it ends no sooner than that.
     let is_ahead = matches!(step, Step::Load { .. }) && backlog <= MAX_ENGINE_BACKLOG + load;
     if backlog > MAX_ENGINE_BACKLOG && !is_ahead {
--- a/crates/orioleroute/src/scheduler/runner.rs
+++ b/crates/orioleroute/src/scheduler/runner.rs
@@ -318,7 +318,7 @@
     }
 
     /// Returns the time until the engine has prefilled all prompts granted to it or queued for it.
-    pub fn queue(&self) -> Duration {
+    pub fn queueing_delay(&self) -> Duration {
         self.backlog() + self.prefill_time(self.queued_tokens)
     }
 
@@ -338,7 +338,7 @@
     }
 
     /// Records a granted request.
-    pub fn begin(&mut self, key: RequestKey, request: &super::Request, now: Instant) {
+    pub fn record_grant(&mut self, key: RequestKey, request: &super::Request, now: Instant) {
         if self.in_flight.values().all(|entry| entry.is_started) {
             self.busy_since = now;
         }
@@ -357,7 +357,7 @@
     }
 
     /// Records the first event of a request's response, and updates the engine's prefill rate.
-    pub fn start(&mut self, key: RequestKey, now: Instant) {
+    pub fn record_first_event(&mut self, key: RequestKey, now: Instant) {
         let Some(entry) = self.in_flight.get_mut(&key).filter(|entry| !entry.is_started) else {
             return;
         };
@@ -366,8 +366,8 @@
         let tokens = f64::from(entry.prefill_tokens);
         self.busy_since = now;
         if tokens >= MIN_SAMPLE_TOKENS && span > 0.0 {
-            let (least, most) = PREFILL_RATE_BOUNDS;
-            let observed = (tokens / span).clamp(least, most);
+            let (lowest, highest) = PREFILL_RATE_BOUNDS;
+            let observed = (tokens / span).clamp(lowest, highest);
             self.prefill_rate += PREFILL_RATE_SMOOTHING * (observed - self.prefill_rate);
         }
     }
@@ -410,13 +410,13 @@
 /// measure the duration of the engine's steps.
 const MIN_SAMPLE_TOKENS: f64 = 500.0;
 
-/// Moves or appends `item` to the end of a list of the `most` most recent items.
-fn record_recent<T: PartialEq>(items: &mut Vec<T>, item: T, most: usize) {
+/// Moves or appends `item` to the end of a list that keeps the `capacity` most recent items.
+fn record_recent<T: PartialEq>(items: &mut Vec<T>, item: T, capacity: usize) {
     match items.iter().position(|known| *known == item) {
         Some(index) => {
             items.remove(index);
         }
-        None if items.len() >= most => {
+        None if items.len() >= capacity => {
             items.remove(0);
         }
         None => {}
--- a/crates/orioleroute/src/view.rs
+++ b/crates/orioleroute/src/view.rs
@@ -30,7 +30,7 @@
 
 impl View {
     /// Returns the key of the row that holds the view of `region`.
-    pub fn row(region: &str) -> Arc<str> {
+    pub fn row_key(region: &str) -> Arc<str> {
         format!("view/{region}").into()
     }
 
--- a/crates/orioleroute/tests/configuration.rs
+++ b/crates/orioleroute/tests/configuration.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn an_accepted_document_is_in_force_everywhere_within_4_s() {
+fn an_accepted_document_is_active_everywhere_within_4_s() {
     let mut elapsed = Vec::new();
     for seed in 0..20 {
         let mut world = world(seed, TWO_REGIONS);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn of_racing_operators_one_wins_and_the_others_are_told_so() {
+fn exactly_one_of_two_concurrent_submissions_is_accepted() {
     for seed in 0..60 {
         let mut world = world(seed, TWO_REGIONS);
         world.platform.faults.replies_lost = seed % 3 == 1;
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_second_submission_at_one_instance_is_not_told_of_a_version_that_does_not_exist() {
+fn a_second_submission_at_one_instance_is_not_answered_with_a_nonexistent_version() {
     let mut world = world(1, ONE_REGION);
     submit(&mut world, 0, 1, 2);
     let second = submit(&mut world, 0, 1, 3);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_region_that_is_cut_off_is_named_and_its_document_accepted_once_it_is_back() {
+fn a_submission_is_pending_while_a_region_is_partitioned_and_accepted_afterwards() {
     let mut world = world(1, TWO_REGIONS);
     for here in 0..3 {
         for there in 3..6 {
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_dead_member_holds_an_acceptance_up_only_until_it_is_removed() {
+fn a_dead_member_delays_an_acceptance_only_until_it_is_removed() {
     for seed in 0..20 {
         let mut world = world(seed, TWO_REGIONS);
         world.kill(4);
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_member_that_missed_changes_is_sent_just_these() {
+fn a_member_that_missed_changes_is_sent_only_those() {
     const ADAPTERS: usize = 1_000;
     let mut world = world_with_one_behind(ADAPTERS);
     let document = common::document_of(ADAPTERS + 1, 3, 4).into();
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn a_member_that_knows_it_is_behind_answers_nothing() {
+fn a_member_that_lacks_an_accepted_version_answers_nothing() {
     let mut world = world_with_one_behind(common::ADAPTERS);
     world.platform.faults.objects_down = true;
     world.partition(0, 2);
@@ -208,7 +208,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_change_leads_from_its_base_to_its_successor_and_from_nowhere_else(
+    fn a_change_applies_only_to_its_base_and_yields_its_successor(
         old in documents(),
         new in documents(),
         other in documents(),
--- a/crates/orioleroute/tests/document.rs
+++ b/crates/orioleroute/tests/document.rs
@@ -18,8 +18,8 @@
 /// Returns the paths of the faults in the document after one value is replaced.
 fn paths(pointer: &str, value: Value) -> Vec<String> {
     let mut document = document();
-    *document.pointer_mut(pointer).expect("it is there") = value;
-    let faults = Document::from_json(&document.to_string()).expect_err("it is wrong");
+    *document.pointer_mut(pointer).expect("the pointer exists") = value;
+    let faults = Document::from_json(&document.to_string()).expect_err("the document is invalid");
     faults.into_iter().map(|fault| fault.path).collect()
 }
 
@@ -50,7 +50,7 @@
     document["adapters"][0]["colour"] = json!("red");
     document["policy"] = json!({ "stall_weight": "high", "deadline_ms": 1.5 });
     document["pools"][0].as_object_mut().expect("it is an object").remove("slots");
-    let faults = Document::from_json(&document.to_string()).expect_err("it is wrong");
+    let faults = Document::from_json(&document.to_string()).expect_err("the document is invalid");
     let mut paths: Vec<&str> = faults.iter().map(|fault| &*fault.path).collect();
     paths.sort_unstable();
     assert_eq!(
@@ -65,7 +65,7 @@
         ]
     );
     let importance = faults.iter().find(|fault| fault.path.ends_with("importance"));
-    let importance = importance.expect("it was reported");
+    let importance = importance.expect("the fault is reported");
     assert_eq!(
         (&*importance.found, &*importance.allowed),
         ("\"urgent\"", "one of low, normal, high")
@@ -74,7 +74,7 @@
 
 #[test]
 fn text_that_is_not_json_is_one_fault() {
-    let faults = Document::from_json("{").expect_err("it is wrong");
+    let faults = Document::from_json("{").expect_err("the document is invalid");
     assert_eq!(faults.len(), 1);
 }
 
@@ -83,6 +83,6 @@
 #[test]
 fn the_published_schema_is_current() {
     let published = include_str!("../../../schema/configuration.json");
-    let published: Value = serde_json::from_str(published).expect("it is JSON");
+    let published: Value = serde_json::from_str(published).expect("the schema is JSON");
     assert_eq!(&published, Document::schema());
 }
--- a/crates/orioleroute/tests/fleet.rs
+++ b/crates/orioleroute/tests/fleet.rs
@@ -44,7 +44,7 @@
         let probed = sampled + Duration::from_millis(1);
         self.fleet.get_mut(self.upstream).unwrap().probed = probed;
         let catalog = &self.catalog;
-        self.fleet.report(probed, self.upstream, &report, |name| catalog.find(name));
+        self.fleet.apply_report(probed, self.upstream, &report, |name| catalog.find(name));
     }
 
     fn residency(&self) -> Option<Residency> {
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn an_unload_of_unknown_outcome_gets_no_requests_while_it_may_still_be_done() {
+fn an_unload_of_unknown_outcome_blocks_requests_while_it_may_still_take_effect() {
     let mut fixture = fixture();
     fixture.unload_without_reply();
 
--- a/crates/orioleroute/tests/ingress.rs
+++ b/crates/orioleroute/tests/ingress.rs
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn when_all_clients_shorten_their_deadline_the_old_one_is_forgotten() {
+fn when_all_clients_shorten_their_deadline_the_longer_one_expires() {
     let mut tracker = DeadlineTracker::default();
     tracker.elapsed(Duration::from_millis(4_000), Instant::from_millis(0));
     for second in 1..=30 {
--- a/crates/orioleroute/tests/lease.rs
+++ b/crates/orioleroute/tests/lease.rs
@@ -92,7 +92,8 @@
 }
 
 #[test]
-fn after_a_death_in_a_table_outage_the_others_answer_from_what_is_loaded_and_load_again_after_it() {
+fn after_a_kill_in_a_table_outage_the_others_answer_from_loaded_adapters_and_load_again_once_it_ends()
+ {
     for seed in 0..20 {
         let mut world = world(seed, Topology { slots: 12, ..ONE_REGION });
         let homes: Vec<usize> = (0..ADAPTERS).map(|adapter| home(&world, adapter)).collect();
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn an_upstream_that_says_it_is_leaving_gets_no_new_work_although_the_list_lags() {
+fn an_upstream_that_reports_draining_gets_no_new_work_although_the_list_lags() {
     for seed in 0..20 {
         let mut world = world(seed, Topology { engines: 1, ..ONE_REGION });
         time_to_answer(&mut world, 0, 0, Duration::from_secs(5)).expect("an answer");
@@ -144,7 +145,7 @@
 }
 
 #[test]
-fn a_restarted_instance_answers_from_what_is_loaded_without_loading_it_again() {
+fn a_restarted_instance_answers_from_loaded_adapters_without_loading_them_again() {
     for seed in 0..20 {
         let mut world = world(seed, Topology { engines: 1, ..ONE_REGION });
         let home = home(&world, 0);
--- a/crates/orioleroute/tests/limits.rs
+++ b/crates/orioleroute/tests/limits.rs
@@ -8,7 +8,7 @@
 
 proptest! {
     #[test]
-    fn the_less_important_is_never_admitted_where_the_more_important_is_not(
+    fn a_less_important_request_is_never_admitted_where_a_more_important_one_is_refused(
         waiting in 0..200_usize,
         capacity in 0..200_u32,
     ) {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn the_expected_wait_grows_with_those_ahead_and_follows_slow_loads() {
+fn the_expected_wait_grows_with_the_loads_ahead_and_with_slow_loads() {
     let mut time = LoadTime::default();
     let quick = time.expected_wait(0, 1);
 
--- a/crates/orioleroute/tests/membership.rs
+++ b/crates/orioleroute/tests/membership.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn an_owner_that_leaves_ends_its_streams_and_then_itself_while_others_take_its_upstream_over() {
+fn a_leaving_owner_finishes_its_streams_and_stops_while_others_take_over_its_upstream() {
     for seed in 0..20 {
         let mut world = world(seed, Topology { engines: 1, slots: 1, ..ONE_REGION });
         let previous = owner(&world, 0);
@@ -103,7 +103,7 @@
 #[rstest]
 #[case::engines_that_check_fencing(true)]
 #[case::engines_that_ignore_fencing(false)]
-fn a_new_owner_uses_nothing_that_a_former_owner_may_still_evict(#[case] checks_fencing: bool) {
+fn a_new_owner_uses_nothing_that_a_previous_owner_may_still_evict(#[case] checks_fencing: bool) {
     for seed in 0..20 {
         let topology = Topology { nodes: 2, engines: 6, slots: 1, checks_fencing, ..ONE_REGION };
         let mut world = world(seed, topology);
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_member_removed_while_it_was_stopped_answers_nothing_in_a_table_outage() {
+fn a_member_removed_while_it_was_paused_answers_nothing_in_a_table_outage() {
     for seed in 0..20 {
         let mut world = world(seed, Topology { slots: 12, ..ONE_REGION });
         for adapter in 0..common::ADAPTERS {
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn an_instance_that_stops_in_a_table_outage_ends_once_its_requests_have() {
+fn an_instance_that_leaves_in_a_table_outage_stops_once_its_requests_have_ended() {
     let mut world = world(0, ONE_REGION);
     let stopped = owner(&world, 0);
     time_to_answer(&mut world, stopped, 0, Duration::from_secs(5)).expect("an answer");
--- a/crates/orioleroute/tests/policy.rs
+++ b/crates/orioleroute/tests/policy.rs
@@ -127,9 +127,9 @@
     let (_, revisions) = catalog();
     let (fleet, keys) = fleet(&[vec![0, 0], vec![0, 0]], &revisions[1..]);
     let candidates = keys.iter().map(|key| Candidate { upstream: *key, slots: 2, concurrency: 4 });
-    let worth = |key| Some(if key == revisions[3] { 0.1 } else { 0.2 });
+    let value = |key| Some(if key == revisions[3] { 0.1 } else { 0.2 });
 
-    let plan = plan(Instant::ZERO, &fleet, candidates, revisions[0], 0.0, worth);
+    let plan = plan(Instant::ZERO, &fleet, candidates, revisions[0], 0.0, value);
 
     assert_eq!(plan, Some(Plan::Evict(keys[1], revisions[3])));
 }
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn a_slow_load_on_one_engine_does_not_hold_others_up() {
+fn a_slow_load_does_not_prevent_a_load_on_another_engine() {
     let mut world = world(8);
     for engine in 0..3 {
         world.engines[engine].load_time = Duration::from_secs(60);
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn a_request_that_cannot_be_in_time_is_refused_at_once() {
+fn a_request_that_cannot_meet_its_deadline_is_refused_at_once() {
     let mut world = world(8);
     let too_short = Spec { timeout: Some(Duration::from_millis(20)), ..spec(0) };
 
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn a_region_that_no_longer_holds_a_revision_loads_it_for_what_is_passed_on() {
+fn a_region_that_no_longer_holds_a_revision_loads_it_for_forwarded_requests() {
     let mut world = two_regions(200);
     let first = world.ask(0, spec(0));
     world.run(Duration::from_secs(2));
--- a/crates/orioleroute/tests/proofs.rs
+++ b/crates/orioleroute/tests/proofs.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_test_that_does_not_exist_is_noticed() {
+fn a_test_that_does_not_exist_is_detected() {
     assert!(!exists("crates/orioleroute/tests/proofs.rs::no_such_test"));
     assert!(!exists("crates/orioleroute/tests/proofs.rs::page"));
     assert!(!exists("crates/orioleroute/tests/no_such_file.rs::page"));
--- a/crates/orioleroute/tests/reconcile.rs
+++ b/crates/orioleroute/tests/reconcile.rs
@@ -9,7 +9,7 @@
 const ONE_ENGINE: Topology = Topology { engines: 1, slots: 1, ..ONE_REGION };
 
 #[test]
-fn a_revision_that_no_document_has_had_is_unloaded() {
+fn a_revision_that_no_document_ever_contained_is_unloaded() {
     let mut world = world(1, ONE_REGION);
     world.engines[0].hold("stranger@v1");
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn loads_and_unloads_without_replies_do_not_hold_up_other_adapters_for_good() {
+fn loads_and_unloads_without_replies_do_not_block_other_adapters_permanently() {
     let mut world = world(3, ONE_ENGINE);
     world.engines[0].faults.order_replies_lost = true;
     for adapter in [0, 1, 0] {
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_failing_load_is_retried_at_a_bounded_rate_and_given_up_at_the_deadline() {
+fn a_failing_load_is_retried_at_a_bounded_rate_until_the_deadline() {
     let mut world = world(5, ONE_ENGINE);
     world.engines[0].faults.loads_fail = true;
     let before: u64 = world.nodes.iter().map(|node| node.counts.orders).sum();
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn an_answer_to_a_process_that_ended_does_not_reach_the_one_started_after_it() {
+fn an_answer_to_a_killed_process_does_not_reach_its_successor() {
     for seed in 0..40 {
         let mut world = world(seed, ONE_REGION);
         for (first, second) in [(6, 0), (1, 2), (3, 4)] {
--- a/crates/orioleroute/tests/regressions.rs
+++ b/crates/orioleroute/tests/regressions.rs
@@ -9,7 +9,7 @@
 use standins::world::{Faults, Record, World};
 
 #[test]
-fn a_quiet_system_answers_every_request() {
+fn a_system_without_faults_answers_every_request() {
     let mut world = world(1);
     for node in 0..6 {
         apply(&mut world, &Step::Ask { node, adapter: node, exact: false });
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_submission_whose_outcome_was_overtaken_is_not_called_refused() {
+fn an_accepted_submission_of_unknown_outcome_is_not_reported_as_refused() {
     let mut world = world(1);
     // Node 0 writes the acceptance but gets no reply, and cannot reach the platform until another
     // version is accepted.
@@ -46,16 +46,16 @@
     world.isolated_from_platform.insert(0);
     world.run(Duration::from_millis(3_000));
     world.command(3, Command::Submit { base: 2, document: document(1).into() });
-    let superseded = world.run_until(Duration::from_secs(30), accepted(3));
+    let followed = world.run_until(Duration::from_secs(30), accepted(3));
     world.heal();
     world.run(Duration::from_secs(10));
 
-    assert!(superseded);
+    assert!(followed);
     assert_eq!(world.checker.violations(), []);
 }
 
 #[test]
-fn a_region_cut_off_does_not_answer_by_a_replaced_version() {
+fn a_partitioned_region_does_not_answer_from_a_replaced_version() {
     let mut world = world(1);
     apply(&mut world, &Step::Submit { node: 0, versions: 2 });
     // Only the announcement of an acceptance makes a node send a message to all others at once.
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_request_that_waits_is_answered_by_the_document_that_came_into_force_meanwhile() {
+fn a_waiting_request_is_answered_from_the_document_that_became_active_meanwhile() {
     let seed = 1_466_971_592_330_384_674;
     let ask = |node, adapter| Step::Ask { node, adapter, exact: false };
     let steps = [
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_new_owner_unloads_what_its_documents_never_had() {
+fn a_new_owner_unloads_revisions_that_its_documents_never_contained() {
     let ask = |node, adapter| Step::Ask { node, adapter, exact: false };
     let steps = [
         vec![Step::Pause(2), Step::Stop(0), Step::Wait(2_157)],
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_submitter_that_does_not_know_whether_its_document_was_accepted_answers_by_no_older_one() {
+fn a_submitter_with_an_unknown_outcome_does_not_answer_from_an_older_document() {
     let seed = 7_481_773_281_296_995_276;
     let both = |one, other| Step::Both(Box::new(one), Box::new(other));
     let steps = [
--- a/crates/orioleroute/tests/replies.rs
+++ b/crates/orioleroute/tests/replies.rs
@@ -76,7 +76,7 @@
     #![proptest_config(histories::proptest_config(histories::histories(300)))]
 
     #[test]
-    fn each_request_has_its_own_answer_once(
+    fn each_request_gets_its_own_answer_once(
         seed in any::<u64>(),
         duplicate_percent in 1..80_u64,
         asked in prop::collection::vec((0..NODES, 0..12_usize, 0..500_u64), 1..60),
--- a/crates/orioleroute/tests/retries.rs
+++ b/crates/orioleroute/tests/retries.rs
@@ -94,12 +94,12 @@
 }
 
 #[test]
-fn nothing_is_tried_again_after_the_answer_has_begun() {
+fn a_request_is_not_retried_after_its_response_has_started() {
     let mut world = world(0);
     // Later than the node's clock, but by too little to be treated as a pause of the process.
     let now = world.now + Duration::from_secs(1);
     let core = world.nodes[0].core.as_mut().expect("the node is running");
-    let request = core.admit();
+    let request = core.allocate_request();
     let spec = spec(Target::Service("bookings".into()));
     core.handle(now, Event::Arrived { request, spec });
     core.handle(now, Event::Progress { request, progress: Progress::ResponseStarted });
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn the_next_home_gets_what_is_left_of_the_time() {
+fn the_next_home_gets_the_remaining_time() {
     let mut world = world(8);
     let now = Instant::from_millis(60_000);
     let model = Target::Model("milk".into());
@@ -122,7 +122,7 @@
         core.homes("zurich", &model).iter().map(|home| number_of(&home.name)).collect()
     };
     let core = world.nodes[homes[2]].core.as_mut().expect("the node is running");
-    let request = core.admit();
+    let request = core.allocate_request();
     let first = core.handle(now, Event::Arrived { request, spec: spec(model) });
 
     let progress = Progress::Failed(Failure::Unsent);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_request_that_is_passed_on_waits_half_of_its_time_in_all() {
+fn a_forwarded_request_waits_for_loads_half_of_its_time_in_total() {
     let mut world = world(8);
     let model = Target::Model("milk".into());
     let homes: Vec<usize> = {
@@ -169,7 +169,7 @@
     world.run(Duration::from_secs(2));
     let now = world.now + Duration::from_secs(1);
     let core = world.nodes[home].core.as_mut().expect("the node is running");
-    let request = core.admit();
+    let request = core.allocate_request();
     let mut effects = core.handle(now, Event::Arrived { request, spec: spec(model) });
 
     for miss in 0..5 {
--- a/crates/orioleroute/tests/scheduler.rs
+++ b/crates/orioleroute/tests/scheduler.rs
@@ -236,8 +236,8 @@
 
     scheduler.handle_report("i-0", Some(&Report::default()), now);
 
-    let given = orders(&scheduler.take_outputs());
-    assert_eq!(given.iter().map(|order| &order.action).collect::<Vec<_>>(), [&Action::LoadModel]);
+    let issued = orders(&scheduler.take_outputs());
+    assert_eq!(issued.iter().map(|order| &order.action).collect::<Vec<_>>(), [&Action::LoadModel]);
 }
 
 #[test]
--- a/crates/orioleroute/tests/scheduling/mod.rs
+++ b/crates/orioleroute/tests/scheduling/mod.rs
@@ -386,7 +386,10 @@
         Action::LoadAdapter { adapter, .. } => {
             let taken = model.held.len() + model.loading.len();
             assert!(taken < ADAPTER_SLOTS, "an engine was ordered to load more than fits");
-            assert!(model.loading.len() < 4, "an engine was ordered more loads than it takes");
+            assert!(
+                model.loading.len() < 4,
+                "an engine was ordered more concurrent loads than it accepts"
+            );
             model.accepted_orders += 1;
             let is_fetch = !model.cached.contains(adapter);
             result.fetches += usize::from(is_fetch);
--- a/crates/standins/src/world/caller.rs
+++ b/crates/standins/src/world/caller.rs
@@ -79,7 +79,7 @@
         parent: Option<(usize, key::Request)>,
     ) -> bool {
         let Some(core) = &mut self.nodes[node].core else { return false };
-        let request = core.admit();
+        let request = core.allocate_request();
         self.request_numbers.insert((node, request), number);
         if let Some(parent) = parent {
             self.parents.insert((node, request), parent);
