--- a/crates/standins/examples/control_load.rs
+++ b/crates/standins/examples/control_load.rs
@@ -44,11 +44,11 @@
 
 fn main() {
     let mut options = getopts::Options::new();
-    options.optopt("n", "nodes", "numbers of nodes, with commas between", "LIST");
-    options.optopt("u", "upstreams", "upstreams; 33 for each node if left out", "COUNT");
-    options.optopt("a", "adapters", "adapters; in proportion if left out", "COUNT");
-    options.optopt("s", "seconds", "seconds of the steady state", "COUNT");
-    options.optopt("c", "changes", "changes of the configuration", "COUNT");
+    options.optopt("n", "nodes", "comma-separated numbers of nodes", "LIST");
+    options.optopt("u", "upstreams", "upstreams (default: 33 per node)", "COUNT");
+    options.optopt("a", "adapters", "adapters (default: in proportion to the nodes)", "COUNT");
+    options.optopt("s", "seconds", "seconds of the steady phase", "COUNT");
+    options.optopt("c", "changes", "configuration changes", "COUNT");
     let matches = options.parse(std::env::args().skip(1)).unwrap_or_else(|error| {
         eprintln!("{}", options.usage(&error.to_string()));
         std::process::exit(2);
@@ -68,10 +68,10 @@
     }
 }
 
-/// The table's header. Rates are per node and second; the times until a version is in force start at its
+/// The table's header. Rates are per node and second; the time until a version is active starts at its
 /// acceptance.
 const HEADER: &str = "| nodes | adapters | phase | messages | bytes | rows read | writes | probes | \
-     events | core, ms | in force, ms: median | most | memory, MB |\n\
+     events | core, ms | active after, ms: median | max | memory, MB |\n\
      |---|---|---|---|---|---|---|---|---|---|---|---|---|";
 
 impl Run {
@@ -86,7 +86,10 @@
         });
         world.run(Duration::from_secs(12));
         if !joined || !self.submit(&mut world, 0) {
-            println!("| {} | {} | nodes did not join or accept |", self.nodes, self.adapters);
+            println!(
+                "| {} | {} | nodes did not join or the document did not become active |",
+                self.nodes, self.adapters
+            );
             return;
         }
         world.run(Duration::from_secs(10));
@@ -109,7 +112,7 @@
         let activation_delays = activation_delays(&world, start);
         self.print("changing", &changing, &activation_delays, memory);
         if accepted < self.changes {
-            println!("only {accepted} of {} changes came into force everywhere", self.changes);
+            println!("only {accepted} of {} changes became active on all nodes", self.changes);
         }
     }
 
--- a/crates/standins/examples/demo.rs
+++ b/crates/standins/examples/demo.rs
@@ -1,6 +1,6 @@
 //! Demonstrates the complete request path with separate processes: a platform, two engines, a plain
-//! service and three nodes. It submits a document and waits until all nodes use it, asks for the
-//! instance to call, streams a response and calls the service, then stops the nodes and exits.
+//! service and three nodes. It submits a document and waits until it is active on all nodes, asks for
+//! the instance to call, streams a response and calls the service, then stops the nodes and exits.
 
 use std::io::{Error, Result, Write};
 use std::net::SocketAddr;
@@ -50,11 +50,11 @@
         let upstreams = nodes.iter().filter_map(status).flat_map(|status| status.upstreams);
         upstreams.filter(|upstream| upstream.holding == Holding::Holds).count() == 2
     });
-    println!("in force on all nodes {propagation:?} after the operator was told");
+    println!("document active on all nodes {propagation:?} after the operator got the answer");
     wait_until("all nodes to be ready", || nodes.iter().all(is_ready));
     run_oriolectl("status", &nodes[1])?;
     let home = ask_route(&nodes[2])?;
-    println!("a caller was told to use {home} for the adapter milk-texturing");
+    println!("route to the adapter milk-texturing: {home}");
     stream(home)?;
     book_twice(home)?;
     for node in &nodes {
@@ -62,7 +62,7 @@
     }
     for node in &mut nodes {
         let status = node.wait(Duration::from_secs(15))?;
-        println!("node ended: {status}");
+        println!("node exited: {status}");
     }
     println!("done");
     Ok(())
--- a/crates/standins/examples/load/figures.rs
+++ b/crates/standins/examples/load/figures.rs
@@ -1,4 +1,4 @@
-//! A benchmark of one node. Each run of latency and throughput also measures direct calls of the
+//! A benchmark of one node. Each run of latency and throughput also measures direct calls to the
 //! engine for comparison.
 
 use std::io::{Error, Read, Result, Write};
--- a/crates/standins/examples/load/main.rs
+++ b/crates/standins/examples/load/main.rs
@@ -14,17 +14,17 @@
 const USAGE: &str = "Usage: load figures
        load steady --address IP:PORT --model NAME [options]
 
-figures starts a system and compares requests through its node with direct calls of the engine.
+figures starts a system and compares requests through its node with direct calls to the engine.
 steady sends requests at a constant rate, without waiting for responses.";
 
 fn main() -> std::io::Result<()> {
     let mut options = getopts::Options::new();
     options.optmulti("", "address", "caller address of a node; may be repeated", "IP:PORT");
-    options.optmulti("", "model", "adapter to ask for; may be repeated", "NAME");
-    options.optopt("", "rate", "requests a second", "COUNT");
-    options.optopt("", "seconds", "how long", "COUNT");
-    options.optopt("", "tokens", "tokens of an answer", "COUNT");
-    options.optopt("", "runs", "runs of which the median is taken", "COUNT");
+    options.optmulti("", "model", "adapter to request; may be repeated", "NAME");
+    options.optopt("", "rate", "requests per second", "COUNT");
+    options.optopt("", "seconds", "seconds during which requests are started", "COUNT");
+    options.optopt("", "tokens", "tokens per response", "COUNT");
+    options.optopt("", "runs", "number of runs, of which the median is printed", "COUNT");
     options.optflag("h", "help", "print this help");
     let matches = match options.parse(std::env::args().skip(1)) {
         Ok(matches) => matches,
--- a/crates/standins/examples/load/steady.rs
+++ b/crates/standins/examples/load/steady.rs
@@ -103,7 +103,7 @@
 fn progress(tally: &Tally, start: Instant) {
     let errors: u64 = tally.errors.values().sum();
     eprintln!(
-        "{:>4} s  started {}  whole {}  failed {errors}",
+        "{:>4} s  started {}  completed {}  failed {errors}",
         start.elapsed().as_secs(),
         tally.started,
         tally.completed
@@ -111,17 +111,17 @@
 }
 
 fn report(tally: &Tally, elapsed: Duration) {
-    println!("requests      {} started, {} answered whole", tally.started, tally.completed);
+    println!("requests      {} started, {} completed", tally.started, tally.completed);
     println!("unanswered    {}", tally.started - tally.ended);
     println!(
-        "goodput       {:.1} whole answers a second",
+        "goodput       {:.1} complete responses per second",
         tally.completed as f64 / elapsed.as_secs_f64()
     );
     for (error, count) in &tally.errors {
         println!("error         {count} x {error}");
     }
     for (name, histogram) in
-        [("first token", &tally.first_token_us), ("whole answer", &tally.total_us)]
+        [("first token", &tally.first_token_us), ("full response", &tally.total_us)]
     {
         let at = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1e3;
         println!(
