--- a/crates/orioleroute/tests/reconcile.rs
+++ b/crates/orioleroute/tests/reconcile.rs
@@ -11,7 +11,7 @@
 #[test]
 fn a_revision_that_no_document_has_had_is_unloaded() {
     let mut world = world(1, ONE_REGION);
-    world.engines[0].hold("stranger@v1");
+    world.engines[0].force_load("stranger@v1");
 
     world.run(Duration::from_secs(5));
 
@@ -72,7 +72,7 @@
     let mut world = world(6, ONE_ENGINE);
     time_to_answer(&mut world, 0, 0, Duration::from_secs(5)).expect("an answer");
 
-    world.engines[0].lose("adapter-0@v1");
+    world.engines[0].force_unload("adapter-0@v1");
     let taken = time_to_answer(&mut world, 0, 0, Duration::from_secs(10));
 
     assert!(taken.is_some_and(|taken| taken < Duration::from_secs(4)), "{taken:?}");
--- a/crates/standins/examples/engine.rs
+++ b/crates/standins/examples/engine.rs
@@ -29,7 +29,7 @@
         slots: number("slots", 8) as usize,
         load_time: Duration::from_millis(number("load-ms", 250)),
         token_interval: Duration::from_millis(number("token-ms", 10)),
-        rejects_stale_tokens: !matches.opt_present("ignore-fencing"),
+        checks_fencing: !matches.opt_present("ignore-fencing"),
     };
     let address = matches.opt_str("listen").unwrap_or_else(|| "127.0.0.1:0".into());
     orioleroute_wire::runtime::block_on(async {
--- a/crates/standins/src/bench/batch.rs
+++ b/crates/standins/src/bench/batch.rs
@@ -17,7 +17,7 @@
 /// same rate.
 #[derive(Default)]
 pub(super) struct Batch {
-    /// The tokens that a request in the batch since the start of the run would have received.
+    /// The tokens that a request in the batch for the whole run would have received so far.
     pub tokens_done: f64,
     /// The time of the last call of [`Self::advance`], in seconds.
     pub advanced_at: f64,
--- a/crates/standins/src/bench/mod.rs
+++ b/crates/standins/src/bench/mod.rs
@@ -150,7 +150,7 @@
 pub struct Metrics {
     /// The number of requests.
     pub requests: u32,
-    /// The number of requests that needed a load to start, whether they waited for it or were refused.
+    /// The number of requests that needed a load, whether they waited for it or were refused.
     pub stalled: u32,
     /// The number of refused requests.
     pub refused: u32,
@@ -165,7 +165,7 @@
     /// The tokens generated, divided by those that the engines would have generated in their busy time
     /// with batches of full size and a single revision.
     pub batch_efficiency: f64,
-    /// The bytes sent between regions per request. The sum over all requests until the run ends.
+    /// The bytes sent between regions per request. During the run, their sum over all requests.
     pub remote_bytes: f64,
     /// The number of loads.
     pub loads: u32,
--- a/crates/standins/src/bench/replay.rs
+++ b/crates/standins/src/bench/replay.rs
@@ -38,7 +38,7 @@
 /// The interval between ticks, in seconds.
 const TICK_INTERVAL_S: f64 = 0.25;
 
-/// A simulated event, with the indices of what it concerns.
+/// A simulated event. The numbers are indices of requests, engines and adapters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     /// A request arrives.
--- a/crates/standins/src/bench/report.rs
+++ b/crates/standins/src/bench/report.rs
@@ -12,8 +12,8 @@
 /// The seeds of the traces in the report. They differ from [`TUNING_SEEDS`].
 pub const REPORTED_SEEDS: [u64; 2] = [1, 3];
 
-/// The target for the highest ratio of stalls to those of the best baseline, and to the clairvoyant
-/// bound.
+/// The targets: the highest accepted ratio of stalls to those of the best baseline, and to those of
+/// the clairvoyant bound.
 const MAX_STALL_RATIOS: (f64, f64) = (0.75, 1.25);
 
 /// The number of cases that run concurrently.
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -22,8 +22,8 @@
     pub load_time: Duration,
     /// The time between two tokens of a response.
     pub token_interval: Duration,
-    /// Whether orders with an outdated fencing token are rejected.
-    pub rejects_stale_tokens: bool,
+    /// Whether it refuses orders with an outdated fencing token.
+    pub checks_fencing: bool,
 }
 
 impl Default for Settings {
@@ -32,7 +32,7 @@
             slots: 8,
             load_time: Duration::from_millis(250),
             token_interval: Duration::from_millis(10),
-            rejects_stale_tokens: true,
+            checks_fencing: true,
         }
     }
 }
@@ -66,7 +66,7 @@
     faults: Faults,
     incarnation: u64,
     fencing_token: u64,
-    /// The running requests by the name of each loaded adapter.
+    /// The number of running requests of each loaded adapter, by served name.
     loaded: HashMap<String, u32>,
     /// The reports that are still needed to return one of the configured age.
     reports: Vec<(Instant, Report)>,
@@ -163,7 +163,7 @@
             .map(|(name, running)| Loaded { name: name.as_str().into(), running: *running })
             .collect();
         let running = loaded.iter().map(|loaded| loaded.running).sum();
-        let fencing = if self.settings.rejects_stale_tokens { self.fencing_token } else { 0 };
+        let fencing = if self.settings.checks_fencing { self.fencing_token } else { 0 };
         let incarnation = self.incarnation;
         let draining = self.faults.draining;
         let now = Report { incarnation, loaded, running, age_ms: 0, fencing, draining };
@@ -193,7 +193,7 @@
         request.header("x-fencing-number").and_then(|text| text.parse().ok()).unwrap_or(0);
     let settings = state.borrow().settings.clone();
     let highest = state.borrow().fencing_token;
-    if settings.rejects_stale_tokens && token < highest {
+    if settings.checks_fencing && token < highest {
         return connection.respond(Response::text(StatusCode::PRECONDITION_FAILED, "fenced")).await;
     }
     state.borrow_mut().fencing_token = token.max(highest);
--- a/crates/standins/src/process.rs
+++ b/crates/standins/src/process.rs
@@ -94,7 +94,7 @@
     }
 }
 
-/// Returns the path of a binary of the workspace, for callers that are examples or tests of it.
+/// Returns the path of a binary of the workspace. The caller has to be an example or test of it.
 ///
 /// # Errors
 ///
--- a/crates/standins/src/proxy.rs
+++ b/crates/standins/src/proxy.rs
@@ -10,9 +10,9 @@
 
 /// A listener that forwards every connection to another address.
 ///
-/// The open connections can be closed or stalled. Connections accepted later are forwarded normally.
+/// The connections that are open can be closed or stalled; later ones are not affected.
 pub struct TcpProxy {
-    /// The address to connect to.
+    /// The address that the proxy listens on.
     pub address: SocketAddr,
     open: Arc<Mutex<Vec<TcpStream>>>,
     /// The number of calls of [`Self::drop_traffic`]. A connection is stalled once this differs from the
@@ -41,7 +41,7 @@
         Ok(Self { address, open, stalls })
     }
 
-    /// Discards all further data on the open connections without closing them.
+    /// Stalls the open connections: all further data on them is discarded, but they stay open.
     pub fn drop_traffic(&self) {
         self.stalls.fetch_add(1, Ordering::SeqCst);
     }
--- a/crates/standins/src/system.rs
+++ b/crates/standins/src/system.rs
@@ -161,7 +161,7 @@
     }
 }
 
-/// Waits until `check` returns true, and returns the time that took.
+/// Waits until `check` returns true, and returns the elapsed time.
 ///
 /// # Panics
 ///
--- a/crates/standins/src/world/caller.rs
+++ b/crates/standins/src/world/caller.rs
@@ -27,7 +27,7 @@
 /// Timeout of a caller whose request has none.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Interval at which events of an attempt are retried while its node is paused.
+/// Interval at which the end of an attempt is delivered again while its node is paused.
 const PAUSED_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The final answer to a caller.
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Passes the result of an attempt to its node, after a pause of the node ends.
+    /// Passes the result of an attempt to its node, once the node is not paused.
     pub(super) fn end_attempt(&mut self, attempt: Attempt, end: AttemptEnd) {
         if !self.is_current(attempt) {
             return;
--- a/crates/standins/src/world/check.rs
+++ b/crates/standins/src/world/check.rs
@@ -86,9 +86,12 @@
     config: config::ConfigHistory,
     started: BTreeSet<usize>,
     refused_not_run: BTreeSet<usize>,
+    /// The number of runs of each request that is not repeatable, by idempotency key or else by number.
     run_counts: BTreeMap<String, u32>,
     draining_since: BTreeMap<usize, Instant>,
+    /// The highest fencing token that each upstream accepted.
     fencing: BTreeMap<usize, u64>,
+    /// The last active configuration version by node and incarnation.
     versions: BTreeMap<(usize, u64), u64>,
 }
 
@@ -132,7 +135,9 @@
                 let violations = self.config.record_accepted(at, *version, object);
                 self.violations.extend(violations);
             }
-            Record::OperatorAnswered { ticket, answer } => self.check_reply(at, *ticket, answer),
+            Record::OperatorAnswered { ticket, answer } => {
+                self.check_operator_answer(at, *ticket, answer)
+            }
             Record::ConfigActivated { node, incarnation, version } => {
                 let last = self.versions.insert((*node, *incarnation), *version);
                 if last.is_some_and(|last| last > *version) {
@@ -170,7 +175,7 @@
         }
     }
 
-    fn check_reply(&mut self, at: Instant, ticket: u64, answer: &Answer) {
+    fn check_operator_answer(&mut self, at: Instant, ticket: u64, answer: &Answer) {
         if let Some(description) = self.config.record_answer(ticket, answer) {
             self.report(Invariant::AccurateAnswers, at, description);
         }
@@ -290,10 +295,11 @@
         }
     }
 
-    /// Describes the violation if no configuration that may be active allows a revision for a request.
+    /// Describes the violation if a request ran on a revision that the configuration does not allow.
     ///
-    /// A request keeps the revision that it was resolved to on arrival while a later version becomes
-    /// active. A node with an older version may still answer what the later version does not change.
+    /// A request keeps the revision that it was resolved to on arrival, so any version that was or
+    /// became active since then may allow it. A node whose version is older than the one due may
+    /// still answer what the due version does not change.
     fn check_version(
         &self,
         at: Instant,
--- a/crates/standins/src/world/engine.rs
+++ b/crates/standins/src/world/engine.rs
@@ -44,7 +44,7 @@
     pub listing: Listing,
     /// Number of adapter slots; zero for a plain service.
     pub slots: usize,
-    /// Whether it refuses orders with an old fencing token.
+    /// Whether it refuses orders with an outdated fencing token.
     pub checks_fencing: bool,
     /// Duration of a load.
     pub load_time: Duration,
@@ -56,6 +56,7 @@
     pub faults: Faults,
     incarnation: u64,
     max_fencing: u64,
+    /// The loaded adapters by served name; the values are unused.
     loaded: BTreeMap<String, u32>,
     runs: BTreeMap<u64, Run>,
     next_run: u64,
@@ -108,12 +109,12 @@
     }
 
     /// Loads an adapter without an order.
-    pub fn hold(&mut self, name: &str) {
+    pub fn force_load(&mut self, name: &str) {
         self.loaded.insert(name.into(), 0);
     }
 
     /// Unloads an adapter without an order.
-    pub fn lose(&mut self, name: &str) {
+    pub fn force_unload(&mut self, name: &str) {
         self.loaded.remove(name);
     }
 
--- a/crates/standins/src/world/mod.rs
+++ b/crates/standins/src/world/mod.rs
@@ -104,16 +104,21 @@
     pub partitions: BTreeSet<(usize, usize)>,
     /// Nodes that cannot reach the platform.
     pub isolated_from_platform: BTreeSet<usize>,
-    /// Percentage of replies and messages that arrive a second time, later.
+    /// Percentage of queued events that a node gets a second time, up to a second later:
+    /// replies, reports and messages, but not lists of upstreams.
+    ///
+    /// This repeats an event on arrival, and a repeated one may repeat again.
+    /// [`Network::duplicate_percent`] sends a message between nodes twice. [`Self::heal`] does not
+    /// reset this one.
     pub duplicate_percent: u64,
     /// Answers to operators, by ticket.
     pub answers: BTreeMap<u64, Answer>,
     caller_requests: Vec<CallerRequest>,
     /// Indices into `caller_requests` of the requests that each node handles.
     request_numbers: BTreeMap<(usize, key::Request), usize>,
-    /// The request at another node that forwarded a request.
+    /// For each forwarded request, the node that forwarded it and the request's key there.
     parents: BTreeMap<(usize, key::Request), (usize, key::Request)>,
-    /// Requests with a final answer, to detect a second one.
+    /// The numbers of requests that already have a final answer, to record a second one.
     finished: BTreeMap<(usize, key::Request), usize>,
     /// The current attempt of each request.
     attempts: BTreeMap<(usize, key::Request), u64>,
@@ -263,7 +268,7 @@
         self.partitions.insert((other, one));
     }
 
-    /// Ends all faults of the network and of the platform.
+    /// Ends all faults of the network and of the platform, except for [`Self::duplicate_percent`].
     pub fn heal(&mut self) {
         self.partitions.clear();
         self.isolated_from_platform.clear();
--- a/crates/standins/src/world/network.rs
+++ b/crates/standins/src/world/network.rs
@@ -12,7 +12,9 @@
 /// The faults of messages between nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Network {
-    /// Percentage of messages that arrive twice.
+    /// Percentage of messages that are sent twice, each copy with a delay of its own.
+    ///
+    /// [`World::duplicate_percent`] instead repeats events on arrival, replies and reports included.
     pub duplicate_percent: u64,
     /// Percentage of messages that are delayed, so that later ones may overtake them.
     pub delay_percent: u64,
@@ -45,12 +47,13 @@
         }
         let name = self.nodes[from].identity.name.clone();
         let event = Event::Message { from: name, message };
-        // A message is addressed to a node, not to one incarnation of it.
+        // The address names no incarnation. The message goes to the current one, and is lost if the
+        // node restarts before it arrives.
         let incarnation = self.nodes[to].identity.incarnation;
         self.queue.push(self.now + delay, Delivery::Event { node: to, incarnation, event });
     }
 
-    /// Returns `true` with a probability given in percent.
+    /// Returns `true` with a probability of `percent`.
     fn random_chance(&mut self, percent: u64) -> bool {
         percent > 0 && self.random_below(100) < percent
     }
--- a/crates/standins/src/world/platform.rs
+++ b/crates/standins/src/world/platform.rs
@@ -25,9 +25,9 @@
     pub table_down: bool,
     /// The table applies operations, but its replies are lost.
     pub replies_lost: bool,
-    /// Extra delay before writes take effect, which the node may no longer wait for.
+    /// Extra delay before writes take effect; the node may have timed out by then.
     pub write_delay: Option<Duration>,
-    /// Extra time until a reply, which the node may no longer wait for.
+    /// Extra time until a reply arrives; the node may have timed out by then.
     pub reply_delay: Duration,
     /// The object store fails all reads and writes.
     pub objects_down: bool,
--- a/crates/standins/src/world/queue.rs
+++ b/crates/standins/src/world/queue.rs
@@ -16,7 +16,8 @@
     Tick { node: usize, incarnation: u64 },
     /// An event for a node.
     Event { node: usize, incarnation: u64, event: Event },
-    /// An operation for the table; `ticket` is `None` if the node has already seen a timeout.
+    /// An operation for the table; `ticket` is `None` if the node times out before it
+    /// arrives.
     Operation {
         node: usize,
         incarnation: u64,
