--- a/crates/oriolectl/tests/commands.rs
+++ b/crates/oriolectl/tests/commands.rs
@@ -91,21 +91,22 @@
         nodes.iter().all(|node| status(node).is_some_and(|status| status.instances.len() == 2))
     });
     let operators = |node: &Process| node.address("operators").expect("it printed its addresses");
-    let asked = operators(&nodes[0]);
+    let operator_address = operators(&nodes[0]);
     let (first, second) = (file("first", &document("v1")), file("second", &document("v2")));
-    let accepted = ask(asked, &["--base", "0", "submit", &first]);
+    let accepted = ask(operator_address, &["--base", "0", "submit", &first]);
     assert_eq!(accepted.status.code(), Some(0), "{accepted:?}");
-    let conflicting = ask(asked, &["--base", "0", "submit", &second]);
+    let conflicting = ask(operator_address, &["--base", "0", "submit", &second]);
     for path in [first, second] {
         std::fs::remove_file(path).expect("it is there");
     }
     assert_eq!(conflicting.status.code(), Some(4), "{conflicting:?}");
     assert!(String::from_utf8_lossy(&conflicting.stdout).contains("version 1"), "{conflicting:?}");
-    let shown = || -> Value {
-        serde_json::from_slice(&ask(asked, &["--json", "status"]).stdout).unwrap_or_default()
+    let merged_status = || -> Value {
+        serde_json::from_slice(&ask(operator_address, &["--json", "status"]).stdout)
+            .unwrap_or_default()
     };
     wait_until("both regions have loaded it", || {
-        let status = shown();
+        let status = merged_status();
         let holds = |region: &str| {
             let mut upstreams = status["upstreams"].as_array().into_iter().flatten();
             upstreams.any(|it| it["region"] == region && it["holding"] == "holds")
@@ -115,7 +116,7 @@
     let [_a, b] = nodes;
     drop(b);
     wait_until("the dead instance is unknown", || {
-        let status = shown();
+        let status = merged_status();
         let mut instances = status["instances"].as_array().into_iter().flatten();
         instances.any(|it| it["name"] == "b" && it["version"].is_null())
     });
@@ -128,23 +129,24 @@
     publish_listings(platform, &[listing("engine-1", "coaching", "zurich", engine)]);
     let program = binary_path("orioleroute-node").expect("the own path is known");
     let mut node = start_node(&program, "a", "zurich", platform, &[]).expect("it starts");
-    let asked = node.address("operators").expect("it printed its addresses");
+    let operator_address = node.address("operators").expect("it printed its addresses");
     let (first, second) = (file("before", &document("v1")), file("after", &document("v2")));
     wait_until("the first document is accepted", || {
-        ask(asked, &["--base", "0", "submit", &first]).status.success()
+        ask(operator_address, &["--base", "0", "submit", &first]).status.success()
     });
 
-    let shown = ask(asked, &["diff", &second]);
-    let delta: Value = serde_json::from_slice(&ask(asked, &["--json", "diff", &second]).stdout)
-        .expect("it is JSON");
-    let explained = ask(asked, &["explain", "milk"]);
-    let unknown = ask(asked, &["explain", "nobody"]);
-    let drained = ask(asked, &["drain"]);
+    let diffed = ask(operator_address, &["diff", &second]);
+    let delta: Value =
+        serde_json::from_slice(&ask(operator_address, &["--json", "diff", &second]).stdout)
+            .expect("it is JSON");
+    let explained = ask(operator_address, &["explain", "milk"]);
+    let unknown = ask(operator_address, &["explain", "nobody"]);
+    let drained = ask(operator_address, &["drain"]);
     for path in [first, second] {
         std::fs::remove_file(path).expect("it is there");
     }
 
-    assert!(String::from_utf8_lossy(&shown.stdout).contains("~ adapter milk"), "{shown:?}");
+    assert!(String::from_utf8_lossy(&diffed.stdout).contains("~ adapter milk"), "{diffed:?}");
     assert_eq!(delta["put"][0]["default"], "v2");
     assert!(String::from_utf8_lossy(&explained.stdout).contains("milk@v1"), "{explained:?}");
     assert_eq!(unknown.status.code(), Some(1), "{unknown:?}");
--- a/crates/oriolectl/tests/trace.rs
+++ b/crates/oriolectl/tests/trace.rs
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn json_lines_are_passed_on_as_they_are() {
+fn json_output_has_one_json_object_per_line() {
     let output = trace(&["--json"], &logs());
 
     let lines = text(&output.stdout);
--- a/crates/orioleroute-node/src/gateway/forward.rs
+++ b/crates/orioleroute-node/src/gateway/forward.rs
@@ -30,21 +30,24 @@
 /// The longest wait for a client to read one part of its response.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The number of upstreams that may decline one request before it is refused.
+/// The number of upstreams that may decline one request, or be unreachable, before it is refused.
 const MAX_DECLINES: u32 = 3;
 
 /// How long a started stream may be silent before it is resumed at another upstream, if its route
 /// permits. This is below the two seconds after which clients disconnect.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_millis(1_300);
 
-/// The retry-after time sent by an instance that has no configuration or is stopping.
+/// The retry-after time sent by an instance that has no configuration or is stopping. It is short
+/// because other instances can serve the request.
 const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// The retry-after time of a request that every tried upstream declined.
 const DECLINED_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// The least time since a client's first attempt for the request to count as a retry after a refusal:
-/// refusals have at least this retry-after time.
+/// The least estimated time since a client's first attempt for the request to count as a retry after a
+/// refusal. It is below the shortest retry-after time that the schedulers' admission control sets,
+/// 100 ms (`scheduler/admission.rs`). An earlier retry, such as one after [`UNAVAILABLE_RETRY_AFTER`],
+/// does not count.
 const MIN_RETURN_DELAY: Duration = Duration::from_millis(80);
 
 /// A request as read from the client.
@@ -285,7 +288,7 @@
         let is_stream = status.is_success() && stream::is_event_stream(&incoming.head.headers);
         let relayed = match is_stream {
             true => self.relay_stream(client, &permit, &mut incoming).await,
-            false => self.relay_whole(client, &mut incoming).await,
+            false => self.relay_buffered(client, &mut incoming).await,
         };
         match relayed {
             RelayOutcome::Done => {
@@ -308,7 +311,11 @@
         }
     }
 
-    async fn relay_whole(&mut self, client: &mut Socket, incoming: &mut Incoming) -> RelayOutcome {
+    async fn relay_buffered(
+        &mut self,
+        client: &mut Socket,
+        incoming: &mut Incoming,
+    ) -> RelayOutcome {
         let remaining = self.deadline.since(self.gateway.now());
         let collected = monoio::select! {
             collected = incoming.collect(MAX_RESPONSE_BYTES) => collected,
--- a/crates/orioleroute-node/src/gateway/heartbeat.rs
+++ b/crates/orioleroute-node/src/gateway/heartbeat.rs
@@ -22,7 +22,7 @@
         match serde_json::from_slice::<Heartbeat>(&buffer[..length]) {
             Ok(heartbeat) => gateway.roster().record_heartbeat(&heartbeat, gateway.now()),
             Err(error) => {
-                debug!(gateway.log, "unreadable heartbeat"; "peer" => peer.to_string(),
+                debug!(gateway.log, "malformed heartbeat"; "peer" => peer.to_string(),
                     "error" => error.to_string());
             }
         }
--- a/crates/orioleroute-node/src/gateway/leadership.rs
+++ b/crates/orioleroute-node/src/gateway/leadership.rs
@@ -112,8 +112,8 @@
     /// Returns the zones that have a leader.
     pub fn led_zones(&self) -> Vec<Arc<str>> {
         let leaders = self.leaders.borrow();
-        let occupied = leaders.iter().filter(|(_, entry)| entry.leader.is_some());
-        occupied.map(|(zone, _)| zone.clone()).collect()
+        let led = leaders.iter().filter(|(_, entry)| entry.leader.is_some());
+        led.map(|(zone, _)| zone.clone()).collect()
     }
 
     /// Returns the version at which the leader row of a zone can be overwritten, or 0 if it has none.
--- a/crates/orioleroute-node/src/gateway/link.rs
+++ b/crates/orioleroute-node/src/gateway/link.rs
@@ -32,8 +32,8 @@
 /// accept.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// How long a scheduler that did not reply in time gets no requests, so that only few requests wait for
-/// one that is partitioned.
+/// How long a scheduler that did not reply in time gets no requests, so that few requests wait for one
+/// that is partitioned.
 const SUSPECT_DURATION: Duration = Duration::from_millis(400);
 
 /// The outgoing and incoming connections of one instance.
--- a/crates/orioleroute-node/src/gateway/placement.rs
+++ b/crates/orioleroute-node/src/gateway/placement.rs
@@ -113,8 +113,9 @@
 
 /// Acquires a permit on a model engine.
 ///
-/// Asks the scheduler of this instance's zone, then that of the adapter's home zone. If neither
-/// answers, chooses an engine that is listed with the adapter.
+/// Asks the scheduler of this instance's zone and, depending on its refusal, that of another zone: the
+/// adapter's home zone, or any other zone if this is the home zone. If no scheduler replies, chooses an
+/// engine that is listed with the adapter.
 ///
 /// Rarely used adapters are fetched only by their home zone, which then has them warm for the next
 /// request from any zone.
@@ -337,8 +338,8 @@
             })
             .map(|upstream| {
                 let extra_latency = extra_latency(gateway, &upstream.zone);
-                let cost = health.get(&upstream.id).cloned().unwrap_or_default();
-                (cost.cost(upstream.slots, extra_latency), upstream)
+                let health = health.get(&upstream.id).cloned().unwrap_or_default();
+                (health.cost(upstream.slots, extra_latency), upstream)
             });
         let best = costs.min_by(|(one, _), (other, _)| one.total_cmp(other));
         best.map(|(_, upstream)| (upstream.id.clone(), upstream.address))
--- a/crates/orioleroute-node/src/gateway/settings.rs
+++ b/crates/orioleroute-node/src/gateway/settings.rs
@@ -13,7 +13,7 @@
     Run(Box<Settings>),
     /// Print a text and exit.
     Print(String),
-    /// Fail with a message.
+    /// Exit with an error message.
     Fail(String),
 }
 
@@ -47,39 +47,49 @@
     /// The share of a processor core available to this instance, its weight in the election of
     /// schedulers.
     pub processor_share: f64,
-    /// The most client connections that are open at a time.
+    /// The maximum number of open connections of clients.
     pub connections: usize,
-    /// The most memory for request bodies held at a time, in bytes.
+    /// The maximum memory for request bodies, in bytes.
     pub body_memory: usize,
     /// The format of log lines.
     pub log_format: LogFormat,
     /// The least severe level that is logged.
     pub log_level: slog::Level,
-    /// The most log lines per second; further ones are dropped and counted.
+    /// The maximum number of log lines per second; further ones are dropped and counted.
     pub log_lines: u32,
 }
 
 const SETTINGS: &[Setting] = &[
     setting("backend", "platform", "where configurations come from", Some("documents")),
-    setting("config", "FILE", "settings, one NAME = VALUE a line", None),
+    setting("config", "FILE", "settings file, one NAME = VALUE per line", None),
     setting("name", "NAME", "unique name of this instance", None),
     setting("region", "NAME", "region of this instance", None),
     setting("zone", "NAME", "availability zone of this instance", None),
     setting("zones", "ZONE=REGION,...", "all availability zones", None),
     setting("caller-address", "IP:PORT", "where clients connect", None),
-    setting("ready-address", "IP:PORT", "where readiness is asked for", None),
-    setting("directory-address", "IP:PORT", "where addresses are asked for", None),
+    setting("ready-address", "IP:PORT", "where the readiness probe connects", None),
+    setting("directory-address", "IP:PORT", "where clients resolve addresses of instances", None),
     setting("peer-address", "IP:PORT", "where other instances connect", None),
     setting("metrics-address", "IP:PORT", "where metrics are served", None),
     setting("store-address", "IP:PORT", "the platform's store", None),
-    setting("grace-ms", "MILLISECONDS", "from the termination signal to the end", Some("8000")),
-    setting("resolution-life-ms", "MILLISECONDS", "how long addresses are kept", Some("2000")),
+    setting(
+        "grace-ms",
+        "MILLISECONDS",
+        "longest time from a termination signal to the exit",
+        Some("8000"),
+    ),
+    setting(
+        "resolution-life-ms",
+        "MILLISECONDS",
+        "how long clients may cache addresses",
+        Some("2000"),
+    ),
     setting("processor-share", "SHARE", "share of a processor core", Some("1")),
-    setting("connections", "COUNT", "open connections of clients", Some("2000")),
-    setting("body-memory", "BYTES", "request bodies held at a time", Some("67108864")),
-    setting("log-format", "json|text", "form of log lines", Some("json")),
+    setting("connections", "COUNT", "maximum number of open connections of clients", Some("2000")),
+    setting("body-memory", "BYTES", "maximum memory for request bodies", Some("67108864")),
+    setting("log-format", "json|text", "format of log lines", Some("json")),
     setting("log-level", "LEVEL", "least severe level that is logged", Some("info")),
-    setting("log-lines", "COUNT", "log lines in a second", Some("400")),
+    setting("log-lines", "COUNT", "maximum number of log lines per second", Some("400")),
 ];
 
 impl Settings {
@@ -95,7 +105,7 @@
         let settings = Self::from_source(&mut source);
         match settings {
             _ if !source.errors.is_empty() => Outcome::Fail(source.errors.join("\n")),
-            _ if source.print_requested() => Outcome::Print(source.print()),
+            _ if source.print_requested() => Outcome::Print(source.render()),
             Some(settings) => Outcome::Run(Box::new(settings)),
             None => Outcome::Fail("orioleroute-node: the settings are incomplete".into()),
         }
--- a/crates/orioleroute-node/src/gateway/state.rs
+++ b/crates/orioleroute-node/src/gateway/state.rs
@@ -293,9 +293,9 @@
     }
 }
 
-/// The retry limits of one instance. All instances together may add retries of a fifth of the requests
-/// plus a small allowance; an instance does not know how many others there are, so it limits itself
-/// to a share of that.
+/// The retry limits of one instance. The retries of all instances together may amount to a fifth of the
+/// requests plus a small allowance. An instance does not know the number of the others, so it limits
+/// itself to a share of that.
 const RETRY_LIMITS: retry::Limits =
     retry::Limits { requests_per_retry: 8, burst: 4, time_per_retry: Duration::from_secs(4) };
 
--- a/crates/orioleroute-node/src/gateway/sync.rs
+++ b/crates/orioleroute-node/src/gateway/sync.rs
@@ -21,7 +21,7 @@
 const RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// The time between two watches of the upstreams. Each upstream's heartbeat ends a watch, so this bounds
-/// the rate of calls. An upstream that is leaving still accepts requests for four times this time.
+/// the rate of calls. An upstream that is leaving still accepts requests for four times this interval.
 const UPSTREAM_WATCH_INTERVAL: Duration = Duration::from_millis(600);
 
 /// The addition to [`UPSTREAM_WATCH_INTERVAL`] for each instance beyond [`BASE_INSTANCES`], because all
@@ -61,7 +61,7 @@
                     gateway.record_announcement(&announcement)
                 }
                 Ok(OperatorRecord::Other) => {}
-                Err(error) => warn!(gateway.log, "unreadable row"; "error" => error.to_string()),
+                Err(error) => warn!(gateway.log, "malformed row"; "error" => error.to_string()),
             }
         }
     };
@@ -165,7 +165,7 @@
     match records::upstream(&row.key, &value) {
         Ok(entry) => Change::Written(entry),
         Err(error) => {
-            warn!(gateway.log, "unreadable row"; "error" => error.to_string());
+            warn!(gateway.log, "malformed row"; "error" => error.to_string());
             Change::Removed(id)
         }
     }
@@ -194,7 +194,7 @@
             None => gateway.roster().remove(name),
             Some(Ok(member)) => gateway.roster().upsert(member, now),
             Some(Err(error)) => {
-                warn!(gateway.log, "unreadable row"; "row" => row.key, "error" => error.to_string());
+                warn!(gateway.log, "malformed row"; "row" => row.key, "error" => error.to_string());
             }
         }
     } else if let Some(zone) = row.key.strip_prefix(LEADER_PREFIX) {
@@ -203,7 +203,7 @@
             None => gateway.leadership.clear_leader(zone, row.version),
             Some(Ok(leader)) => gateway.leadership.set_leader(zone, leader, row.version),
             Some(Err(error)) => {
-                warn!(gateway.log, "unreadable row"; "row" => row.key, "error" => error.to_string());
+                warn!(gateway.log, "malformed row"; "row" => row.key, "error" => error.to_string());
             }
         }
     }
--- a/crates/orioleroute-node/src/relay.rs
+++ b/crates/orioleroute-node/src/relay.rs
@@ -58,9 +58,9 @@
 enum Attempt {
     /// The caller has the complete response.
     Finished,
-    /// It failed before any part of the response was sent to the caller.
+    /// The attempt failed before any part of the response was sent to the caller.
     Failed(Failure),
-    /// It failed after a part was sent, and an error event ended the caller's stream.
+    /// The attempt failed after a part was sent, and an error event ended the caller's stream.
     Interrupted,
 }
 
@@ -197,7 +197,7 @@
     }
 }
 
-/// Where a response comes from.
+/// The peer that a response comes from, and the request that is sent to it.
 struct Source<'a> {
     address: SocketAddr,
     call: Call,
--- a/crates/orioleroute-node/src/settings.rs
+++ b/crates/orioleroute-node/src/settings.rs
@@ -6,7 +6,7 @@
 
 use getopts::{Matches, Options};
 
-/// What the command line asks for.
+/// The result of reading the settings.
 pub enum Outcome {
     /// Run with these settings.
     Run(Box<Settings>),
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::EnumString)]
 #[strum(serialize_all = "snake_case")]
 pub enum LogFormat {
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
     /// Lines of text for a terminal.
     Text,
@@ -102,17 +102,17 @@
     setting("peer-address", "IP:PORT", "where peers connect", Some("127.0.0.1:0")),
     setting("operator-address", "IP:PORT", "where operators connect", Some("127.0.0.1:0")),
     setting("table-address", "IP:PORT", "the platform's table service", None),
-    setting("table-name", "NAME", "the table", Some("orioleroute")),
+    setting("table-name", "NAME", "name of the table", Some("orioleroute")),
     setting("objects-address", "IP:PORT", "the platform's object store", None),
     setting("list-address", "IP:PORT", "the platform's instance list", None),
     setting("peer-token", "TEXT", "bearer token of peers", None),
     setting("operator-token", "TEXT", "bearer token of operators", None),
-    setting("head-bytes", "COUNT", "largest request head", Some("32768")),
-    setting("body-bytes", "COUNT", "largest request body", Some("4194304")),
+    setting("head-bytes", "COUNT", "largest request head, in bytes", Some("32768")),
+    setting("body-bytes", "COUNT", "largest request body, in bytes", Some("4194304")),
     setting("idle-ms", "MILLISECONDS", "longest wait for the next request", Some("120000")),
     setting("head-ms", "MILLISECONDS", "longest time to receive a request head", Some("10000")),
     setting("body-ms", "MILLISECONDS", "longest wait for a request body", Some("10000")),
-    setting("write-ms", "MILLISECONDS", "longest wait for a slow reader", Some("30000")),
+    setting("write-ms", "MILLISECONDS", "longest wait for a caller to read a chunk", Some("30000")),
     setting("connections", "COUNT", "maximum number of open connections of callers", Some("10000")),
     setting("route-life-ms", "MILLISECONDS", "how long callers may cache a route", Some("5000")),
     setting("log-format", "json|text", "format of log lines", Some("json")),
@@ -132,7 +132,7 @@
             return Outcome::Fail(source.errors.join("\n"));
         }
         if source.print_requested() {
-            return Outcome::Print(source.print());
+            return Outcome::Print(source.render());
         }
         match settings {
             Some(settings) => Outcome::Run(Box::new(settings)),
@@ -324,8 +324,8 @@
         self.value(flag).map(Duration::from_millis)
     }
 
-    /// Returns all settings, one a line, with tokens redacted.
-    pub fn print(&self) -> String {
+    /// Returns all settings, one per line, with tokens redacted.
+    pub fn render(&self) -> String {
         let lines = self.settings.iter().map(|setting| {
             let is_secret = setting.flag.ends_with("-token");
             let text = self.text(setting).unwrap_or_default();
--- a/crates/orioleroute-node/tests/faults.rs
+++ b/crates/orioleroute-node/tests/faults.rs
@@ -89,17 +89,17 @@
 }
 
 #[test]
-fn a_stream_over_a_cut_connection_is_resumed() {
+fn a_stream_resumes_after_its_connection_is_closed() {
     let engines = [system::start_engine(engine::Settings::default())];
     let proxy = TcpProxy::start(engines[0]).expect("a port is free");
     let system = System::with_engines(2, &engines, &[proxy.address]);
     let address = system.callers(system.home(0, "milk"));
-    let cut = stream(address, "milk", 300);
+    let interrupted = stream(address, "milk", 300);
 
     assert!(proxy.close_connections() > 0);
 
-    let cut = cut.join().expect("it was read");
-    assert!(cut.is_complete(300), "{} {:?}", cut.text, cut.error);
+    let interrupted = interrupted.join().expect("it was read");
+    assert!(interrupted.is_complete(300), "{} {:?}", interrupted.text, interrupted.error);
     wait_until("a new connection answers", || {
         is_served_by(complete(address, "milk", "after").as_ref(), "milk@v1")
     });
@@ -129,9 +129,9 @@
         outage_start.elapsed() > Duration::from_secs(9)
     });
     let cold = complete(address, "milk@v2", "cold");
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     let refused = book(address, "outage").expect("it answers");
-    let waited = asked.elapsed();
+    let waited = sent_at.elapsed();
 
     assert!(answers > 10);
     assert!(is_served_by(cold.as_ref(), "milk@v2"), "{cold:?}");
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn a_terminated_node_cuts_off_no_stream() {
+fn a_terminated_node_completes_its_streams() {
     let mut system = System::start(2);
     let leaving = system.home(0, "milk");
     let other = 1 - leaving;
@@ -276,9 +276,9 @@
 fn a_caller_that_disconnects_cancels_its_request(#[case] at_home: bool) {
     let system = System::start(2);
     let home = system.home(0, "milk");
-    let asked = if at_home { home } else { 1 - home };
+    let receiver = if at_home { home } else { 1 - home };
 
-    disconnect_early(system.callers(asked), "milk", 1_000);
+    disconnect_early(system.callers(receiver), "milk", 1_000);
 
     let ended = wait_until("the engine ends the request", || {
         system.history().iter().any(|entry| entry["event"] == "end")
--- a/crates/orioleroute-node/tests/path.rs
+++ b/crates/orioleroute-node/tests/path.rs
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn answers_come_from_the_named_version_through_any_node() {
+fn every_node_serves_the_requested_version() {
     let nodes = system();
     for node in &nodes {
         for (model, served) in [("milk", "milk@v2"), ("milk@v1", "milk@v1")] {
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_booking_runs_once_however_often_it_is_sent() {
+fn a_booking_that_is_sent_twice_runs_once() {
     let nodes = system();
     let book = |node: &Process| {
         let request = Call::new(Method::POST, "/services/bookings/enrol")
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_terminated_node_leaves_and_ends() {
+fn a_terminated_node_leaves_the_membership_and_exits() {
     let mut nodes = system();
     nodes[0].signal(Signal::SIGTERM).expect("it runs");
     let ended = nodes[0].wait(Duration::from_secs(10)).expect("it ends");
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn metrics_count_what_was_answered_and_refused() {
+fn metrics_count_finished_and_refused_requests() {
     let nodes = system();
     complete(&nodes[0], "milk");
     complete(&nodes[1], "milk");
--- a/crates/orioleroute-node/tests/support/mod.rs
+++ b/crates/orioleroute-node/tests/support/mod.rs
@@ -74,14 +74,14 @@
         self.nodes.push(start_node(program, name, REGION, self.platform, &[]).expect("it starts"));
     }
 
-    /// Submits a document with the given default version and waits until it is active on node `by`.
-    pub fn submit(&self, by: usize, base: u64, default: &str) {
+    /// Submits a document with the given default version to a node and waits until it is active there.
+    pub fn submit(&self, node: usize, base: u64, default: &str) {
         let document: Arc<str> = document(default).to_string().into();
         let submit = Command::Submit { base, document };
-        let answer = system::send_command(&self.nodes[by], &submit);
+        let answer = system::send_command(&self.nodes[node], &submit);
         assert_eq!(answer, Some(Answer::Accepted { version: base + 1 }));
         wait_until("the document is active", || {
-            status(&self.nodes[by]).is_some_and(|status| status.version == base + 1)
+            status(&self.nodes[node]).is_some_and(|status| status.version == base + 1)
         });
     }
 
@@ -99,10 +99,10 @@
         self.nodes[index].address("callers").expect("the node printed its addresses")
     }
 
-    /// Returns the index of a model's home, as looked up at the node `asked`.
-    pub fn home(&self, asked: usize, model: &str) -> usize {
+    /// Returns the index of a model's home node, as looked up at the node with index `node`.
+    pub fn home(&self, node: usize, model: &str) -> usize {
         let request = Call::new(Method::GET, format!("/route?adapter={model}"));
-        let answer = send_request(self.callers(asked), request).expect("the node answers");
+        let answer = send_request(self.callers(node), request).expect("the node answers");
         let body: Value = serde_json::from_slice(&answer.body).expect("it is JSON");
         let address = body["addresses"][0].as_str().expect("there is a home").parse();
         let address: SocketAddr = address.expect("it is an address");
--- a/crates/orioleroute-wire/src/server.rs
+++ b/crates/orioleroute-wire/src/server.rs
@@ -37,8 +37,8 @@
     pub body_timeout: Duration,
     /// The time limit for writing one part of a response to the peer.
     pub write_timeout: Duration,
-    /// The bearer token that every request requires, if set, except GET requests, which usually have no
-    /// body.
+    /// The bearer token that every request but GET requires, or `None` if no token is required. GET
+    /// requests are exempt because they usually have no body.
     ///
     /// It is checked before the body is read, so that an unauthenticated peer cannot make the process
     /// buffer large bodies.
@@ -389,8 +389,8 @@
 /// Serves every connection of `listener` with `handler` until the future is dropped.
 ///
 /// At most `max_connections` are open at a time. A connection beyond that is rejected with
-/// [`Fault::TooManyConnections`]. `explain` converts a fault to a response; the connection is closed
-/// after it.
+/// [`Fault::TooManyConnections`]. `fault_response` converts a fault to a response; the connection is
+/// closed after it.
 ///
 /// # Errors
 ///
@@ -399,7 +399,7 @@
     listener: TcpListener,
     limits: Limits,
     max_connections: usize,
-    explain: fn(&Fault) -> Response,
+    fault_response: fn(&Fault) -> Response,
     handler: H,
 ) -> std::io::Result<()>
 where
@@ -416,7 +416,7 @@
                 rejecting.set(rejecting.get() + 1);
                 let rejecting = rejecting.clone();
                 monoio::spawn(async move {
-                    connection.reject(explain(&Fault::TooManyConnections)).await;
+                    connection.reject(fault_response(&Fault::TooManyConnections)).await;
                     rejecting.set(rejecting.get() - 1);
                 });
             }
@@ -425,7 +425,7 @@
         open.set(open.get() + 1);
         let (handler, open) = (handler.clone(), open.clone());
         monoio::spawn(async move {
-            serve_connection(&mut connection, explain, &*handler).await;
+            serve_connection(&mut connection, fault_response, &*handler).await;
             open.set(open.get() - 1);
         });
     }
@@ -433,7 +433,7 @@
 
 async fn serve_connection<H>(
     connection: &mut Connection,
-    explain: fn(&Fault) -> Response,
+    fault_response: fn(&Fault) -> Response,
     handler: &H,
 ) where
     H: AsyncFn(&mut Connection, Request) -> Result<(), Error>,
@@ -446,7 +446,7 @@
                 }
             }
             Err(fault) => {
-                return connection.reject(explain(&fault)).await;
+                return connection.reject(fault_response(&fault)).await;
             }
         }
     }
